--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -29,9 +29,8 @@
 constexpr std::size_t kSuspect = 3;     // direct requests unanswered within a pace
 constexpr std::size_t kAskAtOnce = 64;  // machines asked directly at the same time when a reign begins
 
-constexpr std::size_t kStrangers = 1024;  // remembered at the same time
-constexpr double kKeptOverdue = 0.25;     // of the time in which the largest should begin
-constexpr std::size_t kKeptMost = 8;      // machines kept at a time, fewer than a task looks at
+constexpr double kKeptOverdue = 0.25;  // of the time in which the largest should begin
+constexpr std::size_t kKeptMost = 8;   // machines kept at a time, fewer than a task looks at
 
 constexpr double kBoundSteps = 8;  // into which a team's limit is divided (shares/bounds.hpp)
 
@@ -50,7 +49,7 @@
       settings_(std::move(settings)),
       ports_(std::move(ports)),
       reader_(loop, ports_.store),
-      strangers_(settings_.pace_s, settings_.lease_s, kStrangers),
+      strangers_(settings_.pace_s, settings_.lease_s, kMaxStrangers),
       queue_(queue_settings(), queue_facts()),
       replicas_({settings_.gang_wait_s, settings_.gang_peer_s, settings_.gang_wait_s}),
       kept_room_({settings_.pace_s, kKeptOverdue * settings_.begin_within_s, kKeptMost}),
--- a/src/leader/strangers.hpp
+++ b/src/leader/strangers.hpp
@@ -12,6 +12,10 @@
 
 namespace bankhill::leader {
 
+// Remembered at the same time. After a change of leader every machine of a fleet may be one of them (records
+// that cannot be read): twice the largest fleet that operators name, about 1 MB.
+constexpr std::size_t kMaxStrangers = 8192;
+
 class Strangers {
  public:
   // `again_s`: least time between two questions to one; `forget_s`: after which one that brought nothing new
--- a/src/net/evhttp_server.cpp
+++ b/src/net/evhttp_server.cpp
@@ -3,6 +3,7 @@
 #include <event2/buffer.h>
 #include <event2/keyvalq_struct.h>
 #include <fmt/format.h>
+#include <sys/socket.h>
 
 #include <charconv>
 #include <cmath>
@@ -19,6 +20,10 @@
 // A body somewhat above the limit is read and answered 413: closed in the middle, its sender often sees a
 // reset instead of the answer. Beyond this the connection is closed.
 constexpr std::size_t kBodyRead = 4;
+// Connections that wait to be accepted; libevent's own is 128. After an outage a whole fleet connects at
+// once, and what finds the queue full tries again a second or more later. The kernel caps it
+// (net.core.somaxconn).
+constexpr int kAcceptBacklog = 8192;
 
 // Owns the duty to answer a request once.
 class Pending {
@@ -72,9 +77,11 @@
   unsigned port = 0;
   if (colon != std::string::npos)
     std::from_chars(address.data() + colon + 1, address.data() + address.size(), port);
-  if (!server_ || port == 0 || port > 65535 ||
-      evhttp_bind_socket(server_.get(), address.substr(0, colon).c_str(), static_cast<ev_uint16_t>(port)) !=
-          0)
+  auto* bound = !server_ || port == 0 || port > 65535
+                    ? nullptr
+                    : evhttp_bind_socket_with_handle(server_.get(), address.substr(0, colon).c_str(),
+                                                     static_cast<ev_uint16_t>(port));
+  if (bound == nullptr || ::listen(evhttp_bound_socket_get_fd(bound), kAcceptBacklog) != 0)
     throw std::runtime_error("cannot listen on " + address);
   evhttp_set_max_body_size(server_.get(), static_cast<ev_ssize_t>(kBodyRead * wire::kMaxBody));
   evhttp_set_max_headers_size(server_.get(), static_cast<ev_ssize_t>(kMaxHeaders));
--- a/tests/late_test.cpp
+++ b/tests/late_test.cpp
@@ -262,6 +262,19 @@
   EXPECT_TRUE(world.broken().front().starts_with("phantom"));
 }
 
+// A fleet of 4,000 machines of which no record can be read: each is asked at its first report.
+TEST(StrangersTest, HoldsTheLargestFleet) {
+  constexpr int kMachines = 4000;
+  leader::Strangers strangers(3, 20, leader::kMaxStrangers);
+  wire::Report report;
+  report.tenure = wire::Tenure{1};
+  report.counter = 1;
+  for (int i = 0; i < kMachines; ++i) {
+    report.host = wire::HostId{"n-" + std::to_string(i)};
+    EXPECT_TRUE(strangers.to_ask(report, 10)) << i;
+  }
+}
+
 TEST(StrangersTest, AreAskedForWhatIsNewAndForgotten) {
   leader::Strangers strangers(3, 20, 2);
   wire::Report report;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,9 +1,13 @@
 // Client and server over loopback: how many connections they keep.
 #include <arpa/inet.h>
+#include <fcntl.h>
 #include <gtest/gtest.h>
+#include <poll.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <algorithm>
+
 #include "net/evhttp_client.hpp"
 #include "net/evhttp_server.hpp"
 
@@ -92,5 +96,29 @@
   EXPECT_LE(most, 4U);
 }
 
+// A fleet that connects in one moment, while the server is busy, waits in its queue instead of trying again.
+TEST_F(Sockets, AFleetThatConnectsAtOnceIsQueued) {
+  constexpr std::size_t kConnections =
+      500;  // far above libevent's queue of 128, below a common limit of files
+  EvhttpServer server(loop, log, address, 60, {10'000, 10'000}, [](const Request&, const Reply&) {});
+  const auto colon = address.find(':');
+  sockaddr_in target{};
+  target.sin_family = AF_INET;
+  target.sin_port = htons(static_cast<std::uint16_t>(std::stoul(address.substr(colon + 1))));
+  target.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  std::vector<pollfd> connections;
+  for (std::size_t i = 0; i < kConnections; ++i) {
+    const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+    ASSERT_GE(socket, 0);
+    ::connect(socket, reinterpret_cast<const sockaddr*>(&target), sizeof target);
+    connections.push_back({socket, POLLOUT, 0});
+  }
+  ::poll(connections.data(), connections.size(), 0);
+  const auto connected = std::count_if(connections.begin(), connections.end(),
+                                       [](const pollfd& entry) { return (entry.revents & POLLOUT) != 0; });
+  EXPECT_EQ(connected, static_cast<std::ptrdiff_t>(kConnections));
+  for (const auto& entry : connections) ::close(entry.fd);
+}
+
 }  // namespace
 }  // namespace bankhill::net
