--- /dev/null
+++ b/tests/sim/check_service.cpp
@@ -0,0 +1,162 @@
+// Rules on what users get: who is served, who waits beside room, and what is stopped in vain.
+#include <algorithm>
+
+#include "sim/site.hpp"
+#include "sim/world.hpp"
+
+namespace bankhill::sim {
+
+using wire::MemberId;
+using wire::MemberPhase;
+
+namespace {
+constexpr double kStrandedS = 90;    // the operators' rule
+constexpr double kStrandedLook = 1;  // seconds between two looks for it
+}  // namespace
+
+void World::check_served(double begin_within_s, double share) {
+  struct Count {
+    double came = 0;
+    double served = 0;
+  };
+  std::map<std::string, Count> counts;
+  std::map<std::string, std::vector<const SimJob*>> classes;
+  for (const auto& [uid, job] : jobs_) {
+    if (job.broken || cancel_asked(job)) continue;
+    const bool served = job.spec.shape == wire::Shape::sweep ? job.told_done : job.begun > 0;
+    for (const auto& group : {"class " + job.spec.queue, "team " + job.spec.owner}) {
+      ++counts[group].came;
+      counts[group].served += served ? 1 : 0;
+    }
+    if (job.spec.shape == wire::Shape::sweep) classes[job.spec.queue].push_back(&job);
+  }
+  for (auto& [name, members] : classes) {
+    std::sort(members.begin(), members.end(),
+              [](const SimJob* a, const SimJob* b) { return a->spec.members > b->spec.members; });
+    const auto median = members[members.size() / 2]->spec.members;
+    members.resize((members.size() + 9) / 10);
+    for (const auto* job : members) {
+      if (job->spec.members <= median) continue;
+      auto& count = counts["largest of " + name];
+      ++count.came;
+      count.served += job->told_done ? 1 : 0;
+      if (job->begun > 0 ? job->begun - job->created > begin_within_s : now_ - job->created > begin_within_s)
+        violate("unserved", job->spec.uid.value + ", of the largest of " + name + ", began after " +
+                                (job->begun > 0 ? std::to_string(job->begun - job->created) : "never"));
+    }
+  }
+  for (const auto& [group, count] : counts)
+    if (count.served < share * count.came)
+      violate("unserved", group + ": " + std::to_string(count.served) + " of " + std::to_string(count.came));
+}
+
+// Whether a machine that is well and that the job may use has room for one more of its tasks.
+bool World::room_beside(const SimJob& job, const std::map<std::string, double>& team_cores) const {
+  const auto& spec = job.spec;
+  const auto team = std::find_if(settings_.teams.begin(), settings_.teams.end(),
+                                 [&](const auto& each) { return each.name == spec.owner; });
+  const auto used = team_cores.find(spec.owner);
+  if (team == settings_.teams.end() ||
+      (used == team_cores.end() ? 0 : used->second) + spec.need.cores > team->limit.cores + 1e-6)
+    return false;
+  std::map<std::string, std::uint32_t> zones;
+  if (spec.together || spec.scatter)
+    for (const auto& [host, machine] : machines_)
+      for (const auto& [member, task] : machine.tasks)
+        if (member.job == spec.uid && task.phase != MemberPhase::exited) ++zones[machine.zone];
+  return std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
+    const auto& machine = entry.second;
+    if (!machine.up || machine.dead || machine.sick || machine.taken_at > 0) return false;
+    if (spec.rack_room && *spec.rack_room != machine.zone) return false;
+    if (machine.spot && !spec.reclaimable) return false;
+    if (spec.flavors &&
+        std::find(spec.flavors->begin(), spec.flavors->end(), machine.flavor) == spec.flavors->end())
+      return false;
+    const auto here = zones.contains(machine.zone) ? zones.at(machine.zone) : 0U;
+    if (spec.together && !zones.empty() && here == 0) return false;
+    if (spec.scatter && here >= (spec.members + 1) / 2) return false;
+    wire::Amounts want = spec.need;
+    for (const auto& [member, task] : machine.tasks)
+      if (task.phase != MemberPhase::exited) want += jobs_.at(member.job.value).spec.need;
+    return want.fits(machine_resources(machine.flavor));
+  });
+}
+
+// The operators' rule: all troubles over, no job waits beside room that it may use. Counted from the world's
+// machines, whatever the leader makes of them. Of replicas that span machines it knows nothing.
+void World::check_stranded() {
+  if (now_ < next_stranded_check_) return;
+  next_stranded_check_ = now_ + kStrandedLook;
+  if (disturbed()) disturbed_at_ = std::max(disturbed_at_, now_);
+  // A machine that died or that tasks fail on may be there for good: it is the moment that counts.
+  for (const auto& [host, machine] : machines_)
+    if ((machine.dead || machine.sick) && failed_machines_.insert(host).second)
+      disturbed_at_ = std::max(disturbed_at_, now_);
+  if (now_ < disturbed_at_ + kStrandedLook) return beside_room_.clear();
+  std::map<std::string, double> team_cores;
+  std::map<std::string, std::uint32_t> on_machines;  // by job: tasks that are neither over nor waiting
+  for (const auto& [host, machine] : machines_)
+    for (const auto& [member, task] : machine.tasks) {
+      const auto& job = jobs_.at(member.job.value);
+      if (task.phase == MemberPhase::exited) continue;
+      team_cores[job.spec.owner] += job.spec.need.cores;
+      if (!job.completed.contains(member.index)) ++on_machines[member.job.value];
+    }
+  for (const auto& [uid, job] : jobs_) {
+    const bool open = job.accepted && !job.told_done && job.told_cancelled == 0 && !job.broken &&
+                      span({job.spec.uid, 0}) == 1 && !cancel_asked(job);
+    const auto there = on_machines.contains(uid) ? on_machines.at(uid) : 0U;
+    const bool waits =
+        open && job.completed.size() + there < job.spec.members &&
+        std::all_of(job.spec.waits_on.begin(), job.spec.waits_on.end(), [this](const wire::JobId& need) {
+          const auto record = keys_.find(wire::job_key(need));
+          return record != keys_.end() && record->second.data.is_object() &&
+                 record->second.data["phase"] == "done";
+        });
+    if (!waits || !room_beside(job, team_cores)) {
+      beside_room_.erase(uid);
+      continue;
+    }
+    auto& waiting = beside_room_.try_emplace(uid, Waits{now_, job.starts}).first->second;
+    if (waiting.starts != job.starts) waiting = {now_, job.starts};
+    waited_most_s = std::max(waited_most_s, now_ - waiting.since);
+    if (now_ - waiting.since <= kStrandedS) continue;
+    violate("stranded", uid + ": " + std::to_string(job.completed.size()) + " done and " +
+                            std::to_string(there) + " on machines of " + std::to_string(job.spec.members));
+    beside_room_.erase(uid);
+  }
+}
+
+void World::note_stop(const SimMachine& machine, const MemberId& member) {
+  const auto job = jobs_.find(member.job.value);
+  if (job == jobs_.end() || cancel_asked(job->second) || job->second.completed.contains(member.index)) return;
+  // Not where the task runs elsewhere too, or goes with its machine.
+  if (machine.taken_at > 0 || machine.sick || span(member) > 1) return;
+  ++made_room;
+  room_made_.push_back({machine.host, member, now_});
+}
+
+void World::note_room_used(const SimMachine& machine, const MemberId& member) {
+  const auto& spec = jobs_.at(member.job.value).spec;
+  const auto kind = spec.queue + "/" + std::to_string(static_cast<int>(spec.rank));
+  std::erase_if(room_made_, [&](const RoomMade& made) {
+    // What does not rank above it takes no room that was made: it finds some beside.
+    if (made.host != machine.host || spec.rank <= jobs_.at(made.member.job.value).spec.rank) return false;
+    const auto [last, first] = made_room_for_.try_emplace(made.member, kind);
+    if (!first && last->second == kind) {
+      ++made_room_again;
+      log_->debug("{} made room for {} again", made.member.text(), kind);
+    }
+    last->second = kind;
+    return true;
+  });
+}
+
+void World::check_room_made() {
+  for (; !room_made_.empty() && now_ - room_made_.front().at > room_used_within_s; room_made_.pop_front()) {
+    ++made_room_in_vain;
+    log_->debug("{} was stopped on {} in vain", room_made_.front().member.text(), room_made_.front().host);
+  }
+}
+
+}  // namespace bankhill::sim
--- /dev/null
+++ b/tests/sim/faults.cpp
@@ -0,0 +1,257 @@
+// Faults of controllers, machines and services, and which of them a random day has.
+#include <algorithm>
+#include <cmath>
+#include <tuple>
+
+#include "sim/controller.hpp"
+
+namespace bankhill::sim {
+
+namespace {
+constexpr std::size_t kBurstHangs = 8;
+constexpr double kBurstS = 0.2;
+}  // namespace
+
+void World::crash(int node, double restart_after) {
+  freezes_.erase(node);
+  nodes_[static_cast<std::size_t>(node)].reset();
+  at(now_ + restart_after, [this, node] { boot_node(node); });
+}
+
+void World::kill_machine() {
+  for (auto& [host, machine] : machines_)
+    if (machine.up && !machine.dead && chance(0.3)) {
+      machine.dead = true;
+      return;
+    }
+}
+
+void World::hang_machine(double seconds) {
+  for (auto& [host, machine] : machines_)
+    if (machine.up && !machine.dead && chance(0.3)) {
+      machine.hung_until = now_ + seconds;
+      return;
+    }
+}
+
+int World::cancel_now(int count, double hang_s) {
+  std::map<std::string, std::set<std::string>> running;  // and where
+  for (const auto& [host, machine] : machines_)
+    for (const auto& [member, task] : machine.tasks) {
+      const auto job = jobs_.find(member.job.value);
+      if (job == jobs_.end() || !machine.on(member, now_, settings_.lease_s)) continue;
+      const auto& it = job->second;
+      const double least_s = it.run_s * std::min(1.0, it.longer);
+      const bool long_to_go =
+          it.spec.shape == wire::Shape::daemon || it.begun + least_s > now_ + settings_.cancel_s;
+      if (long_to_go && it.accepted && !it.cancel_asked && !it.broken) running[job->first].insert(host);
+    }
+  std::vector<std::string> chosen;
+  for (const auto& [uid, hosts] : running) chosen.push_back(uid);
+  std::shuffle(chosen.begin(), chosen.end(), random_);
+  chosen.resize(std::min(chosen.size(), static_cast<std::size_t>(std::max(0, count))));
+  std::set<std::string> hang;
+  for (const auto& uid : chosen) {
+    at(now_ + uniform(0, kBurstS), [this, uid] { user_cancel(uid); });
+    for (const auto& host : running.at(uid))
+      if (hang_s > 0 && hang.size() < kBurstHangs) hang.insert(host);
+  }
+  for (const auto& host : hang) machines_.at(host).hung_until = now_ + hang_s;
+  return static_cast<int>(chosen.size());
+}
+
+void World::kill_machines(double share) {
+  for (auto& [host, machine] : machines_)
+    if (machine.up && chance(share)) machine.dead = true;
+}
+
+void World::kill_zone(const std::string& zone, double share) {
+  for (auto& [host, machine] : machines_)
+    if (machine.up && machine.zone == zone && chance(share)) machine.dead = true;
+}
+
+void World::hang_machines(double share, double seconds) {
+  for (auto& [host, machine] : machines_)
+    if (machine.up && !machine.dead && chance(share)) machine.hung_until = now_ + seconds;
+}
+
+void World::deafen_machine(double seconds) {
+  for (auto& [host, machine] : machines_)
+    if (machine.up && !machine.dead && chance(0.3)) {
+      machine.deaf_until = now_ + seconds;
+      return;
+    }
+}
+
+void World::deafen_machines(double share, double seconds, const std::string& zone) {
+  for (auto& [host, machine] : machines_)
+    if (machine.up && !machine.dead && (zone.empty() || machine.zone == zone) && chance(share))
+      machine.deaf_until = now_ + seconds;
+}
+
+void World::mute_machines(double share, double seconds, const std::string& zone) {
+  for (auto& [host, machine] : machines_)
+    if (machine.up && !machine.dead && (zone.empty() || machine.zone == zone) && chance(share))
+      std::tie(machine.mute_since, machine.mute_until) = std::pair(now_, now_ + seconds);
+}
+
+void World::sicken_machine() {
+  for (auto& [host, machine] : machines_)
+    if (machine.up && !machine.dead && chance(0.3)) {
+      machine.sick = true;
+      return;
+    }
+}
+
+void World::reclaim_wave(double share, double notice) {
+  for (auto& [host, machine] : machines_)
+    if (machine.spot && machine.up && !machine.dead && chance(share)) {
+      machine.taken_at = now_ + std::max(0.01, notice * uniform(0.5, 1.5));
+      want_report(machine);
+    }
+}
+
+void World::back_at_once(int node) {
+  const auto name = controller_name(node);
+  if (chance(0.5)) {
+    const auto other = chance(0.5) ? std::string("state") : controller_name(pick(node_count_));
+    if (other != name) cut(name, other, uniform(0.05, 2), true);
+  }
+  const double away = uniform(0.05, 0.9);
+  const double when = now_ + uniform(0, 0.5);
+  at(when, [this, node, away] { crash(node, away); });
+  if (chance(0.5))
+    at(when + away + uniform(0.01, 0.95 - away), [this, node] { crash(node, uniform(0.05, 0.9)); });
+}
+
+void World::restart_machine(const std::string& host, double away_s, Back how) {
+  auto& machine = machines_.at(host);
+  disturbed_at_ = std::max(disturbed_at_, now_ + away_s);
+  machine.up = machine.in_flight = false;
+  machine.tasks.clear();
+  ++machine.exchange;
+  machine.tenure = how == Back::first_day ? 1 : machine.tenure + 1;
+  if (how != Back::next_session) machine.counter = machine.fence = 0;
+  at(now_ + away_s, [this, host] {
+    const auto found = machines_.find(host);
+    if (found == machines_.end()) return;
+    found->second.up = true;
+    found->second.lease_from = now_;
+    found->second.report_wanted = true;
+    found->second.last_report = -1;
+  });
+}
+
+void World::restart_machines(double share) {
+  for (auto& [host, machine] : machines_)
+    if (machine.up && !machine.dead && now_ >= machine.hung_until && chance(share)) {
+      restart_machine(host, uniform(0.05, 0.9), chance(0.5) ? Back::next_session : Back::counts_anew);
+      if (chance(0.3))
+        at(now_ + 0.95, [this, host = host] {
+          if (const auto found = machines_.find(host);
+              found != machines_.end() && found->second.up && !found->second.dead)
+            restart_machine(host, uniform(0.05, 0.9), Back::next_session);
+        });
+    }
+}
+
+void World::random_fault() {
+  const double length = uniform(2, 30);
+  const bool hold = chance(0.5);
+  const auto node = controller_name(pick(node_count_));
+  const int kind = pick(28);
+  log_->info("fault {} for {} s, {}, {}", kind, length, node, hold ? "packets held" : "packets lost");
+  switch (kind) {
+    case 0:
+    case 1:
+      return crash(pick(node_count_), uniform(0.5, 6));
+    case 2:
+      for (int i = 0; i < node_count_; ++i) crash(i, uniform(1, 4));
+      return;
+    case 3:
+      return state_outage(length);
+    case 4:
+      return refuse(pick(node_count_), length);
+    case 5:
+      return cloud_outage(length * 1.5);
+    case 6:
+      return cut(node, "state", length, hold);
+    case 7:
+      return cut(node, "workers-" + zones()[static_cast<std::size_t>(pick(2))], length, hold);
+    case 8:
+      for (const auto& [host, machine] : machines_)
+        if (chance(0.4)) cut(node, host, length, hold);
+      return;
+    case 9:
+      return cut(node, controller_name(pick(node_count_)), length, hold);
+    case 10:
+      return kill_machine();
+    case 11:
+      // Just short of the lease, and longer than it.
+      return hang_machine(settings_.lease_s * uniform(0.3, 1.6));
+    case 12:
+      return sicken_machine();
+    case 13:
+      spot_stockout(length * 2);
+      return reclaim_wave(uniform(0.3, 1), chance(0.3) ? 0 : uniform(1, 12));
+    case 14:
+      return kill_machines(uniform(0.2, 0.6));
+    case 15:
+      return hang_machines(uniform(0.2, 0.6), settings_.lease_s * uniform(0.3, 1.6));
+    case 16:
+      return cut(node, "cloud", length, hold);
+    case 17:
+      // Shorter and longer than the leader's lease, up to longer than the workers'.
+      return freeze(pick(node_count_), chance(0.5) ? uniform(0.2, 6) : settings_.lease_s * uniform(0.1, 3));
+    case 18:
+      return copies_come(uniform(0.02, 0.3), settings_.lease_s * uniform(0.2, 5));
+    case 19:
+      for (int i = 0; i < node_count_; ++i)
+        if (chance(0.4)) back_at_once(i);
+      return;
+    case 20:
+      return restart_machines(uniform(0.1, 0.6));
+    case 21:
+      // Shorter than the leader's lease, and longer than the workers'.
+      return isolate(pick(node_count_), chance(0.3) ? uniform(0.3, 3) : length * uniform(1, 2), hold);
+    case 22:
+      // Shorter than a lease, and up to several of them.
+      return deafen_machine(settings_.lease_s * uniform(0.3, 4));
+    case 23:
+      return deafen_machines(chance(0.3) ? 1 : uniform(0.3, 0.8), settings_.lease_s * uniform(0.3, 4),
+                             chance(0.5) ? "" : zones()[static_cast<std::size_t>(pick(2))]);
+    case 24:
+      return mute(chance(0.5) ? std::max(0, leader()) : pick(node_count_), length);
+    case 25:
+      for (int i = 0; i < node_count_; ++i)
+        if (chance(0.5)) freeze(i, uniform(0.2, 25));
+      return;
+    case 26:
+      return late_writes(chance(0.3) ? 1 : uniform(0.1, 0.8), length);
+    default: {
+      // From shorter than any time-out to longer than all.
+      const double most = 0.3 * std::exp2(uniform(0, 6));
+      return slow_state(chance(0.5) ? 0 : most / 2, most, length);
+    }
+  }
+}
+
+void World::heal() {
+  zone_cut_.link.until = std::min(zone_cut_.link.until, now_);
+  for (auto& [zone, until] : zone_out_until_) until = std::min(until, now_);
+  for (auto& [ends, cut] : links_) cut.until = std::min(cut.until, now_);
+  state_down_until_ = std::min(state_down_until_, now_);
+  cloud_down_until_ = std::min(cloud_down_until_, now_);
+  no_spot_until_ = std::min(no_spot_until_, now_);
+  for (auto& [node, until] : refused_until_) until = std::min(until, now_);
+  late_until_ = std::min(late_until_, now_);
+  for (auto* habit : {&close_until_, &odd_until_, &end_until_}) *habit = std::min(*habit, now_);
+  slow_until_ = std::min(slow_until_, now_);
+  for (auto& [node, until] : mute_until_) until = std::min(until, now_);
+  for (auto& [host, machine] : machines_) machine.deaf_until = std::min(machine.deaf_until, now_);
+  for (auto& [host, machine] : machines_) machine.mute_until = std::min(machine.mute_until, now_);
+  for (auto& [node, freeze] : freezes_) freeze.pending = 0;
+  held_reports_.until = std::min(held_reports_.until, now_);
+}
+
+}  // namespace bankhill::sim
--- /dev/null
+++ b/tests/sim/network.cpp
@@ -0,0 +1,171 @@
+// What lies between the parts of the simulated site: latency, cuts, controllers that stand still, and what is
+// lost on the way.
+#include <algorithm>
+
+#include "sim/controller.hpp"
+
+namespace bankhill::sim {
+
+using net::Request;
+using net::Response;
+using wire::Json;
+
+namespace {
+constexpr double kNoticedLate = 0.5;  // by which a message is late before its link counts as slow
+// A machine that goes on takes the answer that waits in its socket, then the held commands, and only then
+// looks at its lease: the order that lets most be executed.
+constexpr double kGoesOnCommands = 0.01;
+
+// What a version that ignores the keys and fields of policies makes of an answer of the state service.
+std::string without_policies(const std::string& text) {
+  auto body = Json::parse(text, nullptr, false);
+  if (!body.is_object()) return text;
+  for (const char* list : {"items", "news"}) {
+    if (!body.contains(list)) continue;
+    Json rest = Json::array();
+    for (auto& item : body[list]) {
+      const auto key = item.contains("k")       ? item["k"]
+                       : item.contains("write") ? item["write"]
+                                                : item["delete"];
+      if (key.get<std::string>().starts_with(wire::kPolicyKey)) continue;
+      if (item.contains("data") && item["data"].is_object()) item["data"].erase("cutoff");
+      rest.push_back(std::move(item));
+    }
+    body[list] = std::move(rest);
+  }
+  if (body.contains("data") && body["data"].is_object()) body["data"].erase("cutoff");
+  return body.dump();
+}
+}  // namespace
+
+// 0.3.0 takes a frame of a kind that it does not know for malformed and closes the connection.
+void World::check_frame(int node, const wire::Frame& frame) {
+  if (const auto* reports = std::get_if<wire::Reports>(&frame)) delegated_ += reports->items.size();
+  const bool known_to_all = frame.index() <= 4;
+  const auto& controller = nodes_[static_cast<std::size_t>(node)];
+  if (!known_to_all && controller && !controller->spreading)
+    violate("frame",
+            controller_name(node) + " does not know frames of kind " + std::to_string(frame.index()));
+}
+
+void World::on_node(int node, std::function<void()> work) {
+  auto& freeze = freezes_[node];
+  if (now_ < freeze.until)
+    return at(freeze.until, [this, node, work = std::move(work)] { on_node(node, work); });
+  if (freeze.pending > 0) {
+    freeze.out_delay = std::exchange(freeze.pending, 0);
+    freeze.until = now_ + freeze.out_delay;
+  }
+  work();
+  freeze.out_delay = 0;
+}
+
+double World::out_delay(const std::string& from) const {
+  for (const auto& [node, freeze] : freezes_)
+    if (freeze.out_delay > 0 && controller_name(node) == from) return freeze.out_delay;
+  return 0;
+}
+
+void World::cut(const std::string& a, const std::string& b, double seconds, bool hold) {
+  links_[std::minmax(a, b)] = {now_ + seconds, hold};
+}
+
+void World::isolate(int node, double seconds, bool hold) {
+  cut(controller_name(node), "state", seconds, hold);
+  for (int other = 0; other < node_count_; ++other)
+    if (other != node) cut(controller_name(node), controller_name(other), seconds, hold);
+}
+
+bool World::within_cut_zone(const std::string& end) const {
+  if (end == controller_name(zone_cut_.node) || end == "workers-" + zone_cut_.zone) return true;
+  const auto machine = machines_.find(end);
+  return machine != machines_.end() && machine->second.zone == zone_cut_.zone;
+}
+
+const World::Link* World::link(const std::string& a, const std::string& b) const {
+  if (now_ < zone_cut_.link.until && within_cut_zone(a) != within_cut_zone(b)) return &zone_cut_.link;
+  const auto found = links_.find(std::minmax(a, b));
+  return found != links_.end() && now_ < found->second.until ? &found->second : nullptr;
+}
+
+void World::carry(const std::string& from, const std::string& to, double latency,
+                  std::function<void()> deliver, const std::string& body) {
+  latency += out_delay(from);
+  if (held_up) {
+    const double late = held_up(from, to, body);
+    if (late > kNoticedLate) disturbed_at_ = std::max(disturbed_at_, now_ + late);
+    latency += late;
+  }
+  const auto* cut = link(from, to);
+  if (cut == nullptr) return at(now_ + latency, std::move(deliver));
+  // Held packets come when the cut is over, even if the sender has given up.
+  if (cut->hold) at(cut->until + latency, std::move(deliver));
+}
+
+void World::http(int node, const std::string& address, Request request, net::Reply reply) {
+  const auto me = controller_name(node);
+  const bool state = address == settings_.state;
+  const bool cloud = address == settings_.cloud;
+  const std::string peer = state ? "state" : cloud ? "cloud" : address;
+  const double latency = state   ? (chance(0.02) ? 0.3 : uniform(0.001, 0.005))
+                         : cloud ? uniform(0.05, 0.15)
+                                 : 0.001;
+  const auto& asking = nodes_[static_cast<std::size_t>(node)];
+  const bool old = state && asking && asking->before_policies;
+  double before = latency;
+  double after = latency;
+  for (int half = 0; state && now_ < slow_until_ && half < 2; ++half)
+    (chance(0.5) ? before : after) += uniform(slow_from_, slow_to_) / 2;
+  auto back = [this, me, peer, after, old, reply = std::move(reply)](Response response) {
+    if (old) response.body = without_policies(response.body);
+    carry(
+        peer, me, after, [reply, response] { reply(response); }, response.body);
+  };
+  if (state && request.path == "/commit") tell(Moment::committed, node);
+  if (!state && !cloud && request.path == "/commands") tell(Moment::ordered, node);
+  std::vector<std::uint64_t> starts;
+  const auto* cut = link(me, peer);
+  if (!state && !cloud && request.path == "/commands" && (cut == nullptr || cut->hold)) {
+    const auto body = Json::parse(request.body);
+    for (const auto& order : wire::parse_orders(body["orders"]))
+      for (const auto& [host, machine] : machines_)
+        if (order.verb == wire::Verb::start && address_of(host) == address) {
+          starts.push_back(++next_direct_);
+          direct_starts_[next_direct_] = {host, order.member, order.try_no,
+                                          body["fence"].get<std::uint64_t>(),
+                                          body["tenure"].get<std::uint64_t>()};
+        }
+  }
+  const auto body = request.body;
+  const auto arrives = [this, node, state, cloud, address, request = std::move(request), back, starts,
+                        sent = now_] {
+    const auto arrived = [this, starts] {
+      for (const auto start : starts) direct_starts_.erase(start);
+    };
+    if (state) {
+      bool answered = true;
+      auto response = state_call(node, request, back, answered);
+      if (answered) back(std::move(response));
+      return;
+    }
+    if (cloud) return back(cloud_call(request));
+    for (auto& [host, machine] : machines_) {
+      if (address_of(host) != address || !machine.up || machine.dead) continue;
+      if (unheard(node, host, request.body)) return arrived();
+      if (now_ >= machine.hung_until) {
+        arrived();
+        return back(command(machine, request, sent));
+      }
+      // A hanging machine executes what has arrived when it goes on.
+      return at(machine.hung_until + kGoesOnCommands, [this, host = host, request, back, arrived, sent] {
+        arrived();
+        const auto found = machines_.find(host);
+        if (found != machines_.end() && !found->second.dead) back(command(found->second, request, sent));
+      });
+    }
+    arrived();  // nobody is there
+  };
+  carry(me, peer, before, arrives, body);
+}
+
+}  // namespace bankhill::sim
