--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -2,23 +2,19 @@
 // does not stop them.
 #pragma once
 
-#include <deque>
-#include <functional>
-#include <map>
 #include <memory>
 #include <optional>
 #include <string>
 #include <vector>
 
 #include "gateway/admission.hpp"
-#include "model/waits.hpp"
+#include "gateway/job_index.hpp"
 #include "net/http.hpp"
 #include "net/relay.hpp"
 #include "policy/policy.hpp"
 #include "runtime/actor.hpp"
 #include "runtime/log.hpp"
 #include "shares/turned_away.hpp"
-#include "state/reader.hpp"
 #include "state/store.hpp"
 #include "wire/records.hpp"
 
@@ -51,16 +47,6 @@
   bool state_ok() const;
 
  private:
-  struct Known {
-    wire::JobPhase phase = wire::JobPhase::accepted;
-    wire::Stamp stamp;
-    std::uint32_t members = 0;
-    bool service = false;
-    std::optional<wire::JobRecord> record;  // of live jobs
-    bool unreadable = false;                // the record in the state service
-    bool doubtful = false;                  // and not even the phase in it
-    wire::Progress progress;
-  };
   struct Call {  // one request under way
     net::Request request;
     net::Reply reply;
@@ -72,22 +58,11 @@
   };
   using CallPtr = std::shared_ptr<Call>;
 
-  void learn(const wire::JobId& id, const state::Entry& entry);
-  void learn_remains(const wire::JobId& id, const state::Entry& entry);
-  void add_waits(const wire::JobId& id, wire::JobRecord& record, wire::Stamp stamp);
-  void ask_unknown();
-  void learn_final(const wire::JobId& id, const state::Entry& entry);
-  void forget_old();
-  // Over for good: by its record, or with a job that it waits for (invariant 14).
-  bool over(const wire::JobId& id, const Known& known) const;
-  // Hands over what is known of the job, at least as new as this call. False: cannot tell.
-  void look_up(const wire::JobId& id, std::function<void(bool, const Known*)> done);
   void submit(const CallPtr& call);
   std::optional<net::Response> refused(const wire::JobSpec& spec) const;
   std::size_t value_bytes() const;
   wire::KeyedValues stored(const wire::JobSpec& spec) const;
   void accepted(const CallPtr& call, const wire::JobSpec& spec);
-  bool is_cancelled(const wire::JobId& id) const;
   void refuse(const CallPtr& call, const wire::JobId& id, const net::Response& reason);
   void check_waits(const CallPtr& call, const wire::JobSpec& spec);
   void accept(const CallPtr& call, const wire::JobSpec& spec);
@@ -96,23 +71,16 @@
   void withdraw(const CallPtr& call, const wire::JobId& id);
   void unable(const CallPtr& call);
   net::Response limited(const wire::JobId& id);
-  net::Response describe(const wire::JobId& id, const Known& known) const;
+  net::Response describe(const wire::JobId& id, const KnownJob& known) const;
   void describe_waiting(const wire::JobId& id, wire::Json& body) const;
 
   runtime::Log log_;
   state::Store& store_;
   net::Relay& relay_;
   const policy::Policy& policy_;
-  state::Reader reader_;  // of jobs that are named and not known
   std::vector<TeamLimit> teams_;
-  std::size_t final_states_kept_;
-  std::vector<wire::Flavor> flavors_;
-  std::map<wire::JobId, Known> jobs_;
-  model::Waits waits_;
-  wire::CatalogueReader catalogue_;
-  std::map<std::string, wire::Json> waits_parts_;  // by key
-  std::deque<wire::JobId> final_order_;
   shares::TurnedAway turned_away_;
+  JobIndex jobs_;
   double look_first_until_ = 0;  // before a submission is accepted
 };
 
--- /dev/null
+++ b/src/gateway/job_index.cpp
@@ -0,0 +1,223 @@
+#include "gateway/job_index.hpp"
+
+#include <utility>
+
+namespace bankhill::gateway {
+
+using wire::JobId;
+using wire::JobPhase;
+
+namespace {
+// A job that is over needs neither.
+void drop_live_state(KnownJob& job) {
+  job.record.reset();
+  job.progress = {};
+}
+}  // namespace
+
+JobIndex::JobIndex(runtime::Loop& loop, runtime::Log log, state::Store& store, std::size_t final_jobs_kept,
+                   FirstSeen first_seen)
+    : loop_(loop),
+      log_(std::move(log)),
+      store_(store),
+      final_jobs_kept_(final_jobs_kept),
+      first_seen_(std::move(first_seen)),
+      key_fetcher_(loop, store) {}
+
+const KnownJob* JobIndex::find(const JobId& id) const {
+  const auto found = jobs_.find(id);
+  return found == jobs_.end() ? nullptr : &found->second;
+}
+
+bool JobIndex::surely_accepted(const JobId& id) const {
+  return jobs_.contains(id) || dependencies_.accepted(id);
+}
+
+bool JobIndex::is_over(const JobId& id, const KnownJob& job) const {
+  return job.phase != JobPhase::accepted || dependencies_.cancelled(id);
+}
+
+bool JobIndex::is_cancelled(const JobId& id) const {
+  const auto* job = find(id);
+  return dependencies_.cancelled(id) || (job != nullptr && job->phase == JobPhase::cancelled);
+}
+
+void JobIndex::apply(const std::vector<state::Change>& changes) {
+  // Jobs last: what they depend on may stand under further keys of the same transaction.
+  for (const auto& change : changes) {
+    apply_catalogue(change);
+    apply_dependency_part(change);
+  }
+  for (const auto& change : changes)
+    if (change.key.starts_with(wire::kJobs) && change.data)
+      learn(JobId{change.key.substr(wire::kJobs.size())}, {*change.data, change.stamp});
+  fetch_unknown_dependencies();
+  forget_oldest();
+}
+
+void JobIndex::apply_catalogue(const state::Change& change) {
+  auto machine_types = store_.parsed(change.key, change.stamp,
+                                     [&] { return catalogue_reader_.learn(change.key, change.data); });
+  if (machine_types && *machine_types) machine_types_ = std::move(**machine_types);
+}
+
+void JobIndex::apply_dependency_part(const state::Change& change) {
+  if (!change.key.starts_with(wire::kWaits)) return;
+  if (change.data)
+    dependency_parts_[change.key] = *change.data;
+  else
+    dependency_parts_.erase(change.key);
+}
+
+void JobIndex::update_progress(wire::Progress progress) {
+  const auto found = jobs_.find(JobId{progress.job});
+  if (found != jobs_.end() && found->second.phase == JobPhase::accepted)
+    found->second.progress = std::move(progress);
+}
+
+void JobIndex::learn(const JobId& id, const state::Entry& entry) {
+  if (const auto* known = find(id); known != nullptr && known->revision >= entry.stamp) return;
+  auto record =
+      store_.parsed(wire::job_key(id), entry.stamp, [&entry] { return wire::parse_job_record(entry.data); });
+  if (!record) return learn_unreadable(id, entry);
+  auto& job = jobs_[id];
+  const bool first_seen = job.revision.value == 0;
+  if (first_seen) first_seen_(id);
+  const bool was_final = job.phase != JobPhase::accepted;
+  job.revision = entry.stamp;
+  job.record_unreadable = job.phase_unknown = false;
+  job.phase = record->phase;
+  job.task_count = record->spec.members;
+  job.is_service = record->spec.shape == wire::Shape::daemon;
+  if (job.phase == JobPhase::accepted && first_seen) add_dependencies(id, *record, entry.stamp);
+  update_dependencies(id, model::fact_of(job.phase, entry.stamp));
+  if (job.phase == JobPhase::accepted) {
+    job.record = std::move(*record);
+    return;
+  }
+  drop_live_state(job);
+  if (!was_final) final_order_.push_back(id);
+}
+
+// A job stays known although its record cannot be read: what of it can be told is told, and what was known of
+// it before stays. Whoever waits for it waits on.
+void JobIndex::learn_unreadable(const JobId& id, const state::Entry& entry) {
+  const auto remains = wire::job_remains(entry.data);
+  auto& job = jobs_[id];
+  job.revision = entry.stamp;
+  job.record_unreadable = true;
+  if (job.phase != JobPhase::accepted) return;  // for good
+  job.phase_unknown = !remains.phase;
+  job.phase = remains.phase.value_or(JobPhase::accepted);
+  if (remains.members > 0) job.task_count = remains.members;
+  update_dependencies(id, model::fact_of(job.phase, entry.stamp));
+  if (job.phase == JobPhase::accepted) return;
+  drop_live_state(job);
+  final_order_.push_back(id);
+}
+
+// A record read by itself. One of a live job comes with the watch, in order and with all that belongs to it.
+void JobIndex::learn_if_final(const JobId& id, const state::Entry& entry) {
+  if (wire::job_remains(entry.data).phase != JobPhase::accepted) learn(id, entry);
+}
+
+void JobIndex::update_dependencies(const JobId& id, const model::JobFact& fact) {
+  dependencies_.learn(id, fact);
+  dependencies_.take_news();  // what has become of a job is asked when its user asks
+}
+
+model::JobFact JobIndex::fact(const JobId& id) const {
+  const auto* job = find(id);
+  return job == nullptr ? model::JobFact{} : model::fact_of(job->phase, job->revision);
+}
+
+// Adds what stands under further keys to the job's dependencies; false if some of it could not be read.
+bool JobIndex::append_dependency_parts(const JobId& id, wire::JobRecord& record, wire::Stamp revision) {
+  bool complete = true;
+  for (std::uint32_t part = 0; part < record.waits_parts; ++part) {
+    const auto found = dependency_parts_.find(wire::waits_key(id, part));
+    if (found == dependency_parts_.end()) {
+      complete = false;
+      continue;
+    }
+    auto needs =
+        store_.parsed(found->first, revision, [&found] { return wire::parse_waits_part(found->second); });
+    if (!needs) {
+      complete = false;
+      continue;
+    }
+    for (auto& need : *needs) record.spec.waits_on.push_back(std::move(need));
+  }
+  return complete;
+}
+
+void JobIndex::add_dependencies(const JobId& id, wire::JobRecord& record, wire::Stamp revision) {
+  const bool complete = append_dependency_parts(id, record, revision);
+  if (record.spec.waits_on.empty() && complete) return;
+  dependencies_.add(id, model::fact_of(record.phase, revision), record.spec.waits_on, !complete,
+                    [this](const JobId& need) { return fact(need); });
+}
+
+// Named jobs that left memory long ago: not knowing is taken neither for done nor for cancelled.
+void JobIndex::fetch_unknown_dependencies() {
+  for (const auto& id : dependencies_.take_questions())
+    key_fetcher_.tell(
+        state::Read{wire::job_key(id), lifetime_.guard([this, id](const std::optional<state::Entry>& entry) {
+                      learn_dependency(id, entry);
+                    })});
+}
+
+void JobIndex::learn_dependency(const JobId& id, const std::optional<state::Entry>& entry) {
+  if (entry) {
+    learn_if_final(id, *entry);
+    return forget_oldest();
+  }
+  dependencies_.learn(id, model::missing_fact());
+  log_->warn("job {}: is waited for and has no record", id.value);
+}
+
+// Invariant 12: memory is bounded; what leaves it is read from the state service.
+void JobIndex::forget_oldest() {
+  while (final_order_.size() > final_jobs_kept_) {
+    jobs_.erase(final_order_.front());
+    final_order_.pop_front();
+  }
+}
+
+void JobIndex::look_up(const JobId& id, LookupDone done) {
+  // Final states never change. Anything else, "never heard of it" included, needs a read barrier (invariant
+  // 9).
+  const auto* known = find(id);
+  if (known != nullptr && is_over(id, *known)) return done({LookupStatus::found, known});
+  store_.tell(state::Sync{lifetime_.guard([this, id, done = std::move(done)](bool synced) mutable {
+    if (!synced) return done({LookupStatus::unavailable});
+    // On the next turn, when the changes that the barrier published have been taken in.
+    loop_.post(lifetime_.guard([this, id, done = std::move(done)] { finish_look_up(id, done); }));
+  })});
+}
+
+void JobIndex::finish_look_up(const JobId& id, const LookupDone& done) {
+  const auto* job = find(id);
+  if (job == nullptr) {
+    if (!store_.has(wire::job_key(id))) return done({LookupStatus::never_accepted});
+    return fetch(id, done);
+  }
+  // A job that it depends on may have been cancelled long ago: not known is not "no".
+  if (dependencies_.in_doubt(id) || job->phase_unknown) return done({LookupStatus::unavailable});
+  done({LookupStatus::found, job});
+}
+
+// Reads a job that left memory.
+void JobIndex::fetch(const JobId& id, const LookupDone& done) {
+  store_.tell(state::Fetch{
+      wire::job_key(id), lifetime_.guard([this, id, done](bool answered, std::optional<state::Entry> entry) {
+        if (!answered) return done({LookupStatus::unavailable});
+        if (!entry) return done({LookupStatus::never_accepted});
+        learn_if_final(id, *entry);
+        const auto* job = find(id);
+        if (job == nullptr || job->phase_unknown) return done({LookupStatus::unavailable});
+        done({LookupStatus::found, job});
+      })});
+}
+
+}  // namespace bankhill::gateway
--- /dev/null
+++ b/tests/job_index_test.cpp
@@ -0,0 +1,305 @@
+// What a controller knows of jobs, from changes in the state service and from look-ups, without a cluster.
+#include "gateway/job_index.hpp"
+
+#include <gtest/gtest.h>
+
+#include <map>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "manual_loop.hpp"
+
+namespace bankhill::gateway {
+namespace {
+
+using wire::JobId;
+using wire::JobPhase;
+using wire::Json;
+using wire::Stamp;
+
+constexpr std::size_t kFinalJobsKept = 2;
+constexpr double kSettledS = 0.5;  // any look-up has been answered by then
+
+JobId job_id(int number) { return JobId{"job-" + std::to_string(number)}; }
+
+wire::JobRecord record_of(const JobId& id, JobPhase phase = JobPhase::accepted,
+                          std::vector<JobId> depends_on = {}) {
+  wire::JobRecord record;
+  record.spec.uid = id;
+  record.spec.queue = "any";
+  record.spec.owner = "red";
+  record.spec.members = 4;
+  record.spec.need = {1, 0, 2};
+  record.spec.bundle = "img-1";
+  record.spec.waits_on = std::move(depends_on);
+  record.phase = phase;
+  return record;
+}
+
+// Keeps keys as the state service does. Watches that block are never answered: what is new comes with the
+// read barriers.
+class FakeStateService final : public net::Client {
+ public:
+  explicit FakeStateService(runtime::Loop& loop) : loop_(loop) {}
+
+  void put(const std::string& key, Json data) { entries_[key] = {std::move(data), Stamp{++revision_}}; }
+  void put(const wire::JobRecord& record) { put(wire::job_key(record.spec.uid), to_json(record)); }
+
+  void send(const std::string&, net::Request request, double, net::Reply reply) override {
+    if (request.path.starts_with("/keys?")) return answer(reply, 200, all_keys());
+    if (request.path.starts_with("/keys/")) return answer_key(request.path.substr(6), reply);
+    if (!request.path.ends_with("block_ms=0")) return;
+    ++barriers;
+    answer(reply, reachable ? 200 : 503, Json{{"epoch", revision_}, {"news", news_after(request.path)}});
+  }
+
+  bool reachable = true;
+  int barriers = 0;
+  int fetches = 0;
+
+ private:
+  Json all_keys() const {
+    Json items = Json::array();
+    for (const auto& [key, entry] : entries_)
+      items.push_back({{"k", key}, {"data", entry.data}, {"stamp", entry.stamp.value}});
+    return {{"items", items}, {"has_next", false}, {"epoch", revision_}};
+  }
+  Json news_after(const std::string& path) const {
+    const auto after = std::stoull(path.substr(path.find("&after=") + 7));
+    Json news = Json::array();
+    for (const auto& [key, entry] : entries_)
+      if (entry.stamp.value > after)
+        news.push_back({{"write", key}, {"data", entry.data}, {"stamp", entry.stamp.value}});
+    return news;
+  }
+  void answer_key(const std::string& key, const net::Reply& reply) {
+    ++fetches;
+    const auto found = entries_.find(key);
+    if (found == entries_.end()) return answer(reply, 404, Json::object());
+    answer(reply, 200, Json{{"data", found->second.data}, {"stamp", found->second.stamp.value}});
+  }
+  void answer(const net::Reply& reply, int status, const Json& body) {
+    loop_.post([reply, status, text = body.dump()] { reply({status, text, std::nullopt}); });
+  }
+
+  runtime::Loop& loop_;
+  std::map<std::string, state::Entry> entries_;
+  std::uint64_t revision_ = 0;
+};
+
+class JobIndexTest : public testing::Test {
+ protected:
+  JobIndexTest() {
+    store_.subscribe([this](const state::Changes& changes) { index_.apply(*changes); });
+  }
+
+  void start() {
+    store_.start();
+    loop_.pass(kSettledS);
+  }
+  // What a look-up says, with a copy of the job.
+  std::pair<LookupStatus, std::optional<KnownJob>> look_up(const JobId& id) {
+    std::pair<LookupStatus, std::optional<KnownJob>> result{LookupStatus::unavailable, std::nullopt};
+    int answers = 0;
+    index_.look_up(id, [&](JobLookup lookup) {
+      ++answers;
+      result.first = lookup.status;
+      if (lookup.job != nullptr) result.second = *lookup.job;
+    });
+    loop_.pass(kSettledS);
+    EXPECT_EQ(answers, 1);
+    return result;
+  }
+
+  test_support::ManualLoop loop_;
+  FakeStateService service_{loop_};
+  runtime::Log log_ = runtime::make_log("job index", "off");
+  state::Store store_{loop_, service_, log_, "state", {}};
+  std::vector<JobId> first_seen_;
+  JobIndex index_{loop_, log_, store_, kFinalJobsKept,
+                  [this](const JobId& id) { first_seen_.push_back(id); }};
+};
+
+TEST_F(JobIndexTest, KeepsTheRecordOfALiveJobAndReportsItsFirstSightOnce) {
+  service_.put(record_of(job_id(1)));
+  start();
+  const auto* job = index_.find(job_id(1));
+  ASSERT_NE(job, nullptr);
+  EXPECT_EQ(job->phase, JobPhase::accepted);
+  EXPECT_EQ(job->task_count, 4U);
+  EXPECT_TRUE(job->record.has_value());
+  EXPECT_FALSE(index_.is_over(job_id(1), *job));
+  EXPECT_TRUE(index_.surely_accepted(job_id(1)));
+  EXPECT_FALSE(index_.surely_accepted(job_id(2)));
+
+  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobPhase::done)), Stamp{9}}});
+  EXPECT_EQ(first_seen_, std::vector<JobId>{job_id(1)});
+}
+
+TEST_F(JobIndexTest, ChangesThatAreNotNewerChangeNothing) {
+  const auto key = wire::job_key(job_id(1));
+  index_.apply({{key, to_json(record_of(job_id(1), JobPhase::done)), Stamp{5}}});
+  index_.apply({{key, to_json(record_of(job_id(1))), Stamp{4}}});
+  index_.apply({{key, to_json(record_of(job_id(1))), Stamp{5}}});
+  EXPECT_EQ(index_.find(job_id(1))->phase, JobPhase::done);
+  EXPECT_EQ(index_.find(job_id(1))->revision, Stamp{5});
+}
+
+TEST_F(JobIndexTest, AJobThatIsOverLosesItsRecordAndProgress) {
+  const auto key = wire::job_key(job_id(1));
+  index_.apply({{key, to_json(record_of(job_id(1))), Stamp{5}}});
+  wire::Progress progress;
+  progress.job = job_id(1).value;
+  progress.running = 3;
+  index_.update_progress(progress);
+  EXPECT_EQ(index_.find(job_id(1))->progress.running, 3U);
+
+  index_.apply({{key, to_json(record_of(job_id(1), JobPhase::cancelled)), Stamp{6}}});
+  index_.update_progress(progress);
+  const auto* job = index_.find(job_id(1));
+  EXPECT_FALSE(job->record.has_value());
+  EXPECT_EQ(job->progress.running, 0U) << "late progress of a job that is over";
+  EXPECT_TRUE(index_.is_cancelled(job_id(1)));
+  EXPECT_TRUE(index_.is_over(job_id(1), *job));
+}
+
+TEST_F(JobIndexTest, TheOldestFinalJobsLeaveMemoryAndAreReadAgain) {
+  for (int number = 1; number <= 4; ++number) service_.put(record_of(job_id(number), JobPhase::done));
+  start();
+  EXPECT_EQ(index_.find(job_id(1)), nullptr);
+  EXPECT_EQ(index_.find(job_id(2)), nullptr);
+  EXPECT_NE(index_.find(job_id(3)), nullptr);
+  EXPECT_NE(index_.find(job_id(4)), nullptr);
+
+  const auto [status, job] = look_up(job_id(1));
+  EXPECT_EQ(status, LookupStatus::found);
+  EXPECT_EQ(job->phase, JobPhase::done);
+  EXPECT_EQ(service_.fetches, 1);
+}
+
+TEST_F(JobIndexTest, LiveJobsNeverLeaveMemory) {
+  for (int number = 1; number <= 9; ++number) service_.put(record_of(job_id(number)));
+  start();
+  for (int number = 1; number <= 9; ++number) EXPECT_NE(index_.find(job_id(number)), nullptr);
+}
+
+TEST_F(JobIndexTest, LookUpOfAFinalJobNeedsNoReadBarrier) {
+  service_.put(record_of(job_id(1), JobPhase::done));
+  start();
+  const int before = service_.barriers;
+  bool answered_at_once = false;
+  index_.look_up(job_id(1),
+                 [&](JobLookup lookup) { answered_at_once = lookup.status == LookupStatus::found; });
+  EXPECT_TRUE(answered_at_once);
+  EXPECT_EQ(service_.barriers, before);
+}
+
+TEST_F(JobIndexTest, LookUpOfALiveOrUnknownJobTakesInWhatWasCommittedBefore) {
+  service_.put(record_of(job_id(1)));
+  start();
+  service_.put(record_of(job_id(1), JobPhase::done));
+  service_.put(record_of(job_id(2)));
+  const int before = service_.barriers;
+  EXPECT_EQ(look_up(job_id(1)).second->phase, JobPhase::done);
+  EXPECT_EQ(service_.barriers, before + 1);
+  EXPECT_EQ(look_up(job_id(2)).first, LookupStatus::found);
+  EXPECT_EQ(look_up(job_id(3)).first, LookupStatus::never_accepted);
+  EXPECT_EQ(service_.fetches, 0) << "a key that the barrier does not show is not asked for";
+}
+
+TEST_F(JobIndexTest, LookUpWithoutTheStateServiceSaysSo) {
+  service_.put(record_of(job_id(1)));
+  EXPECT_EQ(look_up(job_id(1)).first, LookupStatus::unavailable) << "nothing has been read yet";
+  start();
+  service_.reachable = false;
+  EXPECT_EQ(look_up(job_id(1)).first, LookupStatus::unavailable) << "known, but perhaps no longer so";
+  EXPECT_EQ(look_up(job_id(2)).first, LookupStatus::unavailable);
+}
+
+TEST_F(JobIndexTest, AJobWhoseRecordCannotBeReadStaysKnown) {
+  auto damaged = to_json(record_of(job_id(1)));
+  damaged["spec"].erase("queue");
+  service_.put(wire::job_key(job_id(1)), damaged);
+  service_.put(wire::job_key(job_id(2)), Json{{"phase", "?"}});
+  start();
+  const auto [status, job] = look_up(job_id(1));
+  EXPECT_EQ(status, LookupStatus::found);
+  EXPECT_TRUE(job->record_unreadable);
+  EXPECT_EQ(job->task_count, 4U);
+  EXPECT_FALSE(job->record.has_value());
+  EXPECT_EQ(look_up(job_id(2)).first, LookupStatus::unavailable) << "not even its phase can be told";
+  EXPECT_TRUE(first_seen_.empty());
+}
+
+TEST_F(JobIndexTest, DependenciesUnderFurtherKeysMayFollowInTheSameChange) {
+  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1))), Stamp{1}}});
+  auto record = record_of(job_id(2));
+  record.waits_parts = 1;
+  index_.apply({{wire::job_key(job_id(2)), to_json(record), Stamp{2}},
+                {wire::waits_key(job_id(2), 0), Json("1"), Stamp{2}}});
+  EXPECT_FALSE(index_.dependencies().released(job_id(2)));
+  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobPhase::done)), Stamp{3}}});
+  EXPECT_TRUE(index_.dependencies().released(job_id(2)));
+}
+
+TEST_F(JobIndexTest, AJobWithAMissingPartOfItsDependenciesIsNeverReleased) {
+  auto record = record_of(job_id(2));
+  record.waits_parts = 2;
+  index_.apply({{wire::job_key(job_id(2)), to_json(record), Stamp{2}},
+                {wire::waits_key(job_id(2), 0), Json("1"), Stamp{2}}});
+  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobPhase::done)), Stamp{3}}});
+  EXPECT_FALSE(index_.dependencies().released(job_id(2)));
+}
+
+TEST_F(JobIndexTest, AJobIsOverWithTheCancelledJobThatItDependsOn) {
+  index_.apply(
+      {{wire::job_key(job_id(1)), to_json(record_of(job_id(1))), Stamp{1}},
+       {wire::job_key(job_id(2)), to_json(record_of(job_id(2), JobPhase::accepted, {job_id(1)})), Stamp{2}}});
+  EXPECT_FALSE(index_.is_over(job_id(2), *index_.find(job_id(2))));
+  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobPhase::cancelled)), Stamp{3}}});
+  EXPECT_TRUE(index_.is_over(job_id(2), *index_.find(job_id(2))));
+  EXPECT_TRUE(index_.is_cancelled(job_id(2)));
+}
+
+TEST_F(JobIndexTest, DependenciesThatLeftMemoryAreReadAndNotGuessed) {
+  service_.put(record_of(job_id(1), JobPhase::cancelled));
+  for (int number = 2; number <= 4; ++number) service_.put(record_of(job_id(number), JobPhase::done));
+  start();
+  ASSERT_EQ(index_.find(job_id(1)), nullptr);
+  service_.put(record_of(job_id(5), JobPhase::accepted, {job_id(1), job_id(2)}));
+  service_.put(record_of(job_id(6), JobPhase::accepted, {job_id(99)}));
+  EXPECT_EQ(look_up(job_id(5)).first, LookupStatus::unavailable) << "what it depends on is still to be read";
+  loop_.pass(kSettledS);
+  EXPECT_TRUE(index_.is_cancelled(job_id(5)));
+  EXPECT_FALSE(index_.is_cancelled(job_id(6)));
+  EXPECT_FALSE(index_.dependencies().released(job_id(6))) << "a dependency that has no record is not done";
+}
+
+TEST_F(JobIndexTest, TheCatalogueIsTakenInAndOneThatCannotBeReadChangesNothing) {
+  wire::Flavor machine_type;
+  machine_type.name = "m";
+  machine_type.size = {8, 0, 32};
+  machine_type.rack_rooms = {"a"};
+  EXPECT_TRUE(index_.machine_types().empty());
+  index_.apply({{wire::kCatalogueKey, to_json(std::vector<wire::Flavor>{machine_type}), Stamp{1}}});
+  ASSERT_EQ(index_.machine_types().size(), 1U);
+  EXPECT_EQ(index_.machine_types().front().name, "m");
+  index_.apply({{wire::kCatalogueKey, Json("damaged"), Stamp{2}}});
+  EXPECT_EQ(index_.machine_types().size(), 1U);
+}
+
+TEST_F(JobIndexTest, AnswersThatComeAfterItsEndAreDropped) {
+  service_.put(record_of(job_id(1)));
+  start();
+  bool answered = false;
+  {
+    JobIndex other(loop_, log_, store_, kFinalJobsKept, [](const JobId&) {});
+    other.look_up(job_id(1), [&](JobLookup) { answered = true; });
+  }
+  loop_.pass(kSettledS);
+  EXPECT_FALSE(answered);
+}
+
+}  // namespace
+}  // namespace bankhill::gateway
--- /dev/null
+++ b/tests/manual_loop.hpp
@@ -0,0 +1,67 @@
+// A loop whose clock is moved by hand, for tests of single actors.
+#pragma once
+
+#include <algorithm>
+#include <cstdint>
+#include <deque>
+#include <functional>
+#include <memory>
+#include <queue>
+#include <random>
+#include <tuple>
+#include <utility>
+
+#include "runtime/loop.hpp"
+
+namespace bankhill::test_support {
+
+class ManualLoop final : public runtime::Loop {
+ public:
+  double now() const override { return now_; }
+  double wall() const override { return now_; }
+  void post(std::function<void()> work) override { posted_.push_back(std::move(work)); }
+  runtime::Timer after(double seconds, std::function<void()> work) override {
+    auto armed = std::make_shared<std::function<void()>>(std::move(work));
+    timers_.push({now_ + seconds, next_order_++, armed});
+    return armed;
+  }
+  std::mt19937_64& random() override { return random_; }
+
+  // Runs what is posted and what falls due within this time.
+  void pass(double seconds) {
+    const double until = now_ + seconds;
+    run_posted();
+    while (!timers_.empty() && timers_.top().at <= until) {
+      const auto next = timers_.top();
+      timers_.pop();
+      now_ = std::max(now_, next.at);
+      if (const auto work = next.work.lock()) (*work)();
+      run_posted();
+    }
+    now_ = until;
+  }
+
+ private:
+  struct ArmedTimer {
+    double at;
+    std::uint64_t order;
+    std::weak_ptr<std::function<void()>> work;
+    bool operator<(const ArmedTimer& other) const {
+      return std::tie(at, order) > std::tie(other.at, other.order);
+    }
+  };
+  void run_posted() {
+    while (!posted_.empty()) {
+      const auto work = std::move(posted_.front());
+      posted_.pop_front();
+      work();
+    }
+  }
+  double now_ = 100;
+  std::uint64_t next_order_ = 0;
+  std::deque<std::function<void()>> posted_;
+  std::priority_queue<ArmedTimer> timers_;
+  std::mt19937_64 random_{1};
+};
+
+}  // namespace bankhill::test_support
