--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -8,15 +8,15 @@
 constexpr double kRounding = 1e-6;
 }
 
-std::optional<std::string> refusal(const wire::JobSpec& spec, const std::vector<TeamLimit>& teams,
-                                   const std::vector<wire::Flavor>& flavors) {
+std::optional<RejectionReason> refusal(const wire::JobSpec& spec, const std::vector<TeamLimit>& teams,
+                                       const std::vector<wire::Flavor>& flavors) {
   const auto team = std::find_if(teams.begin(), teams.end(),
                                  [&](const TeamLimit& item) { return item.name == spec.owner; });
-  if (team == teams.end()) return "unknown team";
+  if (team == teams.end()) return RejectionReason::unknown_team;
   const double count = spec.shape == wire::Shape::daemon ? spec.members : 1;
   if (spec.need.cores * count > team->limit.cores + kRounding ||
       spec.need.accelerators * count > team->limit.accelerators + kRounding)
-    return "needs more than the team's limit";
+    return RejectionReason::exceeds_team_limit;
   const bool fits = std::any_of(flavors.begin(), flavors.end(), [&](const wire::Flavor& flavor) {
     const bool allowed = !spec.flavors || std::find(spec.flavors->begin(), spec.flavors->end(),
                                                     flavor.name) != spec.flavors->end();
@@ -24,7 +24,7 @@
                                                    *spec.rack_room) != flavor.rack_rooms.end();
     return allowed && zone && spec.need.fits(flavor.size);
   });
-  if (!fits) return "a task fits no allowed machine type";
+  if (!fits) return RejectionReason::fits_no_machine_type;
   return std::nullopt;
 }
 
--- a/src/gateway/admission.hpp
+++ b/src/gateway/admission.hpp
@@ -5,17 +5,19 @@
 #include <string>
 #include <vector>
 
+#include "gateway/rejection.hpp"
 #include "wire/messages.hpp"
 
 namespace bankhill::gateway {
 
+// What a team may use at most.
 struct TeamLimit {
   std::string name;
   wire::Amounts limit;  // cores and accelerators
 };
 
 // The reason why the job can never run; nothing if it can.
-std::optional<std::string> refusal(const wire::JobSpec& spec, const std::vector<TeamLimit>& teams,
-                                   const std::vector<wire::Flavor>& flavors);
+std::optional<RejectionReason> refusal(const wire::JobSpec& spec, const std::vector<TeamLimit>& teams,
+                                       const std::vector<wire::Flavor>& flavors);
 
 }  // namespace bankhill::gateway
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -2,6 +2,8 @@
 // does not stop them.
 #pragma once
 
+#include <cstddef>
+#include <functional>
 #include <memory>
 #include <optional>
 #include <string>
@@ -9,6 +11,7 @@
 
 #include "gateway/admission.hpp"
 #include "gateway/job_index.hpp"
+#include "gateway/rejection.hpp"
 #include "net/http.hpp"
 #include "net/relay.hpp"
 #include "policy/policy.hpp"
@@ -21,18 +24,23 @@
 namespace bankhill::gateway {
 
 // Messages.
+
+// The state service published changes.
 struct Changed {
   state::Changes changes;
 };
+// A user asks.
 struct UserCall {
   net::Request request;
   net::Reply reply;
-  bool relayed = false;
+  bool relayed = false;  // by a sibling, which could not serve it
 };
+// The leader tells of a running job.
 struct Progressed {
   wire::Progress progress;
 };
 
+// The actor that answers users.
 class Gateway : public runtime::Actor<Gateway, Changed, UserCall, Progressed> {
  public:
   // `policy`: in force at any time.
@@ -43,7 +51,9 @@
   void on(UserCall& message);
   void on(Progressed& message);
 
+  // Whether users are to be sent here.
   bool healthy() const;
+  // Whether this controller reaches the state service.
   bool state_ok() const;
 
  private:
@@ -51,28 +61,56 @@
     net::Request request;
     net::Reply reply;
     bool relayed = false;
-    int tries = 0;
-    std::size_t checked = 0;  // of the jobs that a submission waits for: known to have been accepted
-    bool doomed = false;      // one of them is cancelled
-    bool looked = false;      // whether another controller has accepted it
+    int failed_attempts = 0;  // of its transaction
   };
   using CallPtr = std::shared_ptr<Call>;
 
+  struct Submission {  // of one job, under way
+    CallPtr call;
+    wire::JobSpec spec;
+    // What accepts the job, as of this turn: rendered again once an answer was waited for.
+    std::optional<wire::KeyedValues> values;
+    std::size_t dependencies_checked = 0;  // known to have been accepted
+    bool dependency_cancelled = false;
+    bool looked_elsewhere = false;  // whether another controller has accepted it
+  };
+  using SubmissionPtr = std::shared_ptr<Submission>;
+
+  // Requests, each answered once.
   void submit(const CallPtr& call);
-  std::optional<net::Response> refused(const wire::JobSpec& spec) const;
-  std::size_t value_bytes() const;
-  wire::KeyedValues stored(const wire::JobSpec& spec) const;
-  void accepted(const CallPtr& call, const wire::JobSpec& spec);
-  void refuse(const CallPtr& call, const wire::JobId& id, const net::Response& reason);
-  void check_waits(const CallPtr& call, const wire::JobSpec& spec);
-  void accept(const CallPtr& call, const wire::JobSpec& spec);
-  void answer_known(const CallPtr& call, const wire::JobId& id);
   void status(const CallPtr& call, const wire::JobId& id);
   void withdraw(const CallPtr& call, const wire::JobId& id);
+
+  // Steps of a submission.
+  void check_waits(const SubmissionPtr& submission);
+  void look_for_dependency(const SubmissionPtr& submission, const wire::JobId& need);
+  void accept(const SubmissionPtr& submission);
+  void commit_acceptance(const SubmissionPtr& submission);
+  void acceptance_decided(const SubmissionPtr& submission, state::Outcome outcome);
+  void accepted(const Submission& submission);
+  void refuse(const Submission& submission, const Rejection& rejection);
+  wire::KeyedValues render(const wire::JobSpec& spec) const;
+  std::size_t value_bytes() const;
+
+  // Steps of a cancellation.
+  void commit_cancellation(const CallPtr& call, const wire::JobId& id, const KnownJob& job);
+  void cancellation_decided(const CallPtr& call, const wire::JobId& id, state::Outcome outcome);
+
+  // Hands over what is known of the job, at least as new as this call; null: no controller has accepted it.
+  // Where this one cannot tell, a sibling answers the call.
+  void look_up(const CallPtr& call, const wire::JobId& id, std::function<void(const KnownJob*)> done);
+  // Answers with the state of the job if any controller has accepted it.
+  void answer_if_accepted(const CallPtr& call, const wire::JobId& id, std::function<void()> otherwise);
+  void answer_known(const CallPtr& call, const wire::JobId& id);
+  void answer_status(const CallPtr& call, const wire::JobId& id, const KnownJob& job) const;
+  // Hands over what became of the transaction. If the state service does not serve us, a sibling answers the
+  // call.
+  void commit(const CallPtr& call, state::Transaction transaction,
+              std::function<void(state::Outcome)> decided);
+  // After an attempt of the call's transaction that decided nothing.
+  static bool may_try_again(Call& call, int max_attempts);
   void unable(const CallPtr& call);
   net::Response limited(const wire::JobId& id);
-  net::Response describe(const wire::JobId& id, const KnownJob& known) const;
-  void describe_waiting(const wire::JobId& id, wire::Json& body) const;
 
   runtime::Log log_;
   state::Store& store_;
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -21,24 +21,25 @@
   EXPECT_FALSE(refusal(spec, teams, {flavor})) << "an array needs room for one task";
   auto other = spec;
   other.shape = wire::Shape::daemon;
-  EXPECT_TRUE(refusal(other, teams, {flavor})) << "a service needs room for all";
+  EXPECT_EQ(refusal(other, teams, {flavor}), RejectionReason::exceeds_team_limit)
+      << "a service needs room for all";
   const std::vector<TeamLimit> guests = {{"red", {std::numeric_limits<double>::infinity(), 0, 0}}};
   EXPECT_FALSE(refusal(other, guests, {flavor})) << "a team without a limit";
   other = spec;
   other.owner = "blue";
-  EXPECT_TRUE(refusal(other, teams, {flavor}));
+  EXPECT_EQ(refusal(other, teams, {flavor}), RejectionReason::unknown_team);
   other = spec;
   other.need.ram_gb = 33;
-  EXPECT_TRUE(refusal(other, teams, {flavor}));
+  EXPECT_EQ(refusal(other, teams, {flavor}), RejectionReason::fits_no_machine_type);
   other = spec;
   other.need.accelerators = 1;
-  EXPECT_TRUE(refusal(other, teams, {flavor}));
+  EXPECT_EQ(refusal(other, teams, {flavor}), RejectionReason::exceeds_team_limit);
   other = spec;
   other.flavors = std::vector<std::string>{"x"};
-  EXPECT_TRUE(refusal(other, teams, {flavor}));
+  EXPECT_EQ(refusal(other, teams, {flavor}), RejectionReason::fits_no_machine_type);
   other = spec;
   other.rack_room = "b";
-  EXPECT_TRUE(refusal(other, teams, {flavor}));
+  EXPECT_EQ(refusal(other, teams, {flavor}), RejectionReason::fits_no_machine_type);
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/route_test.cpp
@@ -0,0 +1,94 @@
+// The users' API without a gateway: what requests ask for, and the answers as users read them.
+#include "gateway/route.hpp"
+
+#include <gtest/gtest.h>
+
+#include "gateway/responses.hpp"
+
+namespace bankhill::gateway {
+namespace {
+
+using net::Method;
+using wire::JobId;
+
+const JobId kJob{"job-000412"};
+
+TEST(Route, NamesWhatARequestAsksFor) {
+  EXPECT_EQ(parse_route(Method::get, "/healthz"), Route(HealthRoute{}));
+  EXPECT_EQ(parse_route(Method::post, "/submissions"), Route(SubmitRoute{}));
+  EXPECT_EQ(parse_route(Method::get, "/submissions/job-000412"), Route(StatusRoute{kJob}));
+  EXPECT_EQ(parse_route(Method::post, "/submissions/job-000412/withdraw"), Route(CancelRoute{kJob}));
+}
+
+TEST(Route, IgnoresTheQuery) {
+  EXPECT_EQ(parse_route(Method::get, "/healthz?deep=1"), Route(HealthRoute{}));
+  EXPECT_EQ(parse_route(Method::get, "/submissions/job-000412?a=/b"), Route(StatusRoute{kJob}));
+}
+
+TEST(Route, OtherMethodsAreNotAllowed) {
+  const Route wrong = RouteError::method_not_allowed;
+  EXPECT_EQ(parse_route(Method::post, "/healthz"), wrong);
+  EXPECT_EQ(parse_route(Method::get, "/submissions"), wrong);
+  EXPECT_EQ(parse_route(Method::del, "/submissions/job-000412"), wrong);
+  EXPECT_EQ(parse_route(Method::get, "/submissions/job-000412/withdraw"), wrong);
+  EXPECT_EQ(parse_route(Method::post, "/submissions/no-job"), wrong) << "the method is judged before the id";
+}
+
+TEST(Route, OtherPathsLeadNowhere) {
+  const Route nowhere = RouteError::no_such_path;
+  EXPECT_EQ(parse_route(Method::get, "/"), nowhere);
+  EXPECT_EQ(parse_route(Method::get, "/healthz/"), nowhere);
+  EXPECT_EQ(parse_route(Method::get, "/submission"), nowhere);
+  EXPECT_EQ(parse_route(Method::get, "/submissions/job-000412/tasks"), nowhere);
+  EXPECT_EQ(parse_route(Method::get, "/submissions/job-000412/withdraw/"), nowhere);
+}
+
+TEST(Route, WhatIsNoJobIdIsNoJob) {
+  const Route no_job = RouteError::no_such_job;
+  EXPECT_EQ(parse_route(Method::get, "/submissions/"), no_job);
+  EXPECT_EQ(parse_route(Method::get, "/submissions/withdraw"), no_job);
+  EXPECT_EQ(parse_route(Method::get, "/submissions/job-x"), no_job);
+  EXPECT_EQ(parse_route(Method::post, "/submissions/job-/withdraw"), no_job);
+}
+
+void expect_response(const net::Response& response, int status, const std::string& body,
+                     std::optional<double> retry_after_s = std::nullopt) {
+  EXPECT_EQ(response.status, status) << body;
+  EXPECT_EQ(response.body, body);
+  EXPECT_EQ(response.retry_after_s, retry_after_s) << body;
+}
+
+TEST(Responses, StandAsUsersKnowThem) {
+  expect_response(responses::healthy(), 200, "{}");
+  expect_response(responses::accepted(kJob, false), 201, R"({"phase":"queued","uid":"job-000412"})");
+  expect_response(responses::accepted(kJob, true), 201, R"({"phase":"cancelled","uid":"job-000412"})");
+  expect_response(responses::cancelled(kJob), 200, R"({"phase":"cancelled","uid":"job-000412"})");
+  expect_response(responses::status({{"phase", "done"}}), 200, R"({"phase":"done"})");
+  expect_response(responses::malformed("field 'uid' is missing"), 400,
+                  R"({"error":"field 'uid' is missing"})");
+  expect_response(responses::no_such_job(), 404, R"({"error":"no such job"})");
+  expect_response(responses::unavailable(), 503, "{}", 1.0);
+  expect_response(responses::unavailable_for(7), 503, "{}", 7.0);
+}
+
+TEST(Responses, NameTheFaultOfARoute) {
+  expect_response(responses::route_error(RouteError::no_such_path), 404, R"({"error":"no such path"})");
+  expect_response(responses::route_error(RouteError::no_such_job), 404, R"({"error":"no such job"})");
+  expect_response(responses::route_error(RouteError::method_not_allowed), 405,
+                  R"({"error":"method not allowed"})");
+}
+
+TEST(Responses, NameTheReasonOfARejection) {
+  const auto expect = [](RejectionReason reason, int status, const std::string& text) {
+    expect_response(responses::rejected({reason, kJob}), status, R"({"error":")" + text + R"("})");
+  };
+  expect(RejectionReason::unknown_team, 422, "unknown team");
+  expect(RejectionReason::exceeds_team_limit, 422, "needs more than the team's limit");
+  expect(RejectionReason::fits_no_machine_type, 422, "a task fits no allowed machine type");
+  expect(RejectionReason::description_too_long, 400, "the description is longer than can be stored");
+  expect(RejectionReason::dependency_is_service, 422, "job-000412 is a service, which is never done");
+  expect(RejectionReason::dependency_never_accepted, 422, "job-000412 was never accepted");
+}
+
+}  // namespace
+}  // namespace bankhill::gateway
