--- a/src/election/elector.cpp
+++ b/src/election/elector.cpp
@@ -149,9 +149,9 @@
   renew_timer_ = loop().after(timing_.renew_s, [this] { renew(); });
   const double sent = loop().now();
   store_.tell(
-      state::TouchLease{hold, timing_.ttl_s / 2, guard([this, hold, sent](std::optional<bool> renewed) {
-                          if (hold_ != hold || !renewed) return;
-                          if (!*renewed) return lost();
+      state::TouchLease{hold, timing_.ttl_s / 2, guard([this, hold, sent](state::LeaseRenewal renewal) {
+                          if (hold_ != hold || renewal == state::LeaseRenewal::unknown) return;
+                          if (renewal == state::LeaseRenewal::ended) return lost();
                           on_validity_({hold, sent + timing_.ttl_s * (1 - timing_.drift)});
                         })});
   // A lease that took no key is of no use: another controller leads, or nothing shows that our transaction
--- a/src/gateway/job_index.cpp
+++ b/src/gateway/job_index.cpp
@@ -210,14 +210,17 @@
 // Reads a job that left memory.
 void JobIndex::fetch(const JobId& id, const LookupDone& done) {
   store_.tell(state::Fetch{
-      wire::job_key(id), lifetime_.guard([this, id, done](bool answered, std::optional<state::Entry> entry) {
-        if (!answered) return done({LookupStatus::unavailable});
-        if (!entry) return done({LookupStatus::never_accepted});
-        learn_if_final(id, *entry);
-        const auto* job = find(id);
-        if (job == nullptr || job->phase_unknown) return done({LookupStatus::unavailable});
-        done({LookupStatus::found, job});
-      })});
+      wire::job_key(id),
+      lifetime_.guard([this, id, done](const state::KeyAnswer& answer) { finish_fetch(id, answer, done); })});
+}
+
+void JobIndex::finish_fetch(const JobId& id, const state::KeyAnswer& answer, const LookupDone& done) {
+  if (answer.status == state::KeyStatus::unknown) return done({LookupStatus::unavailable});
+  if (answer.status == state::KeyStatus::missing) return done({LookupStatus::never_accepted});
+  learn_if_final(id, *answer.entry);
+  const auto* job = find(id);
+  if (job == nullptr || job->phase_unknown) return done({LookupStatus::unavailable});
+  done({LookupStatus::found, job});
 }
 
 }  // namespace bankhill::gateway
--- a/src/state/reader.cpp
+++ b/src/state/reader.cpp
@@ -21,15 +21,14 @@
     auto pending = std::move(waiting_.front());
     waiting_.pop_front();
     ++under_way_;
-    store_.tell(
-        Fetch{pending->read.key, guard([this, pending](bool known, const std::optional<Entry>& entry) {
-                --under_way_;
-                if (known)
-                  pending->read.done(entry);
-                else
-                  refused(pending);
-                next();
-              })});
+    store_.tell(Fetch{pending->read.key, guard([this, pending](const KeyAnswer& answer) {
+                        --under_way_;
+                        if (answer.status == KeyStatus::unknown)
+                          refused(pending);
+                        else
+                          pending->read.done(answer.entry);
+                        next();
+                      })});
   }
 }
 
--- a/src/state/reader.hpp
+++ b/src/state/reader.hpp
@@ -14,12 +14,13 @@
 
 namespace bankhill::state {
 
-// Message.
+// Message: reads one key.
 struct Read {
   std::string key;
   std::function<void(const std::optional<Entry>&)> done;  // empty: the key does not exist
 };
 
+// The actor that reads them.
 class Reader : public runtime::Actor<Reader, Read> {
  public:
   Reader(runtime::Loop& loop, Store& store) : Actor(loop), store_(store) {}
--- a/src/state/store.cpp
+++ b/src/state/store.cpp
@@ -1,21 +1,20 @@
 #include "state/store.hpp"
 
+#include <algorithm>
 #include <utility>
 
-#include "wire/records.hpp"
-
 namespace bankhill::state {
 
-using net::Method;
 using net::Response;
-using wire::Json;
+using protocol::AnswerError;
 
 namespace {
 // No answer for this long: the request counts as unanswered. Answers usually take milliseconds.
 constexpr double kAnswerS = 1.0;
-constexpr double kWatchS = 10.0;
+constexpr int kWatchMs = 10'000;
+constexpr double kWatchTimeoutS = 15.0;
 constexpr double kHeartbeatS = 1.0;
-constexpr std::size_t kPage = 1000;
+constexpr double kListS = 4.0;
 // Parts of the request limit that the read barriers and the watches of all controllers may use.
 constexpr double kBarrierShare = 0.25;
 constexpr double kWatchShare = 0.3;
@@ -27,12 +26,15 @@
 constexpr double kInsistS = 1.2;
 // Part of the write limit that only users and elections may use.
 constexpr double kUrgentReserve = 0.3;
-constexpr int kTooMany = 429;
 // Of the write limit: what was counted too much, such as puts of others seen late, may still be had.
 constexpr double kWritesOwed = 0.1;
 // Of the write limit: the margin is for writes that are not seen, such as failed conditions.
 constexpr double kWritesUsed = 0.95;
 
+// How soon what was not answered is asked again.
+constexpr double kRetryMinS = 0.1;
+constexpr double kRetryMaxS = 0.3;
+
 // Of the limit of requests, for this controller.
 double requests(const Limits& limits, double share) {
   return limits.rps * share / static_cast<double>(limits.controllers);
@@ -57,66 +59,63 @@
   heartbeat();
 }
 
-void Store::send(Method method, std::string path, std::string body, double timeout_s, net::Reply reply) {
-  client_.send(address_, {method, std::move(path), std::move(body)}, timeout_s,
+void Store::send(net::Request request, double timeout_s, net::Reply reply) {
+  client_.send(address_, std::move(request), timeout_s,
                guard([reply = std::move(reply)](Response response) { reply(std::move(response)); }));
 }
 
 void Store::list(std::string after) {
-  if (after.empty()) {
+  const bool is_first = after.empty();
+  if (is_first) {
     listing_.clear();
     listing_epoch_ = {};
   }
-  std::string path = "/keys?starts=" + wire::kRoot + "&most=" + std::to_string(kPage);
-  if (!after.empty()) path += "&after=" + after;
-  send(Method::get, std::move(path), "", kAnswerS * 4,
-       [this, first = after.empty(), after](const Response& response) {
-         Json page = response.status == 200 ? Json::parse(response.body, nullptr, false) : Json();
-         if (!page.is_object() || !page.contains("items")) {
-           // The same page: from the first one, a service at its limit would keep a long list from ever
-           // ending.
-           list_timer_ = loop().after(loop().uniform(0.1, 0.3), [this, after] { list(after); });
-           return;
-         }
-         if (first) listing_epoch_ = wire::Epoch{wire::count_field(page, "epoch")};
-         std::string last;
-         for (const auto& item : page["items"]) {
-           last = wire::text_field(item, "k");
-           listing_[last] = Entry{item.value("data", Json()), wire::Stamp{wire::count_field(item, "stamp")}};
-         }
-         if (page.value("has_next", false) && !last.empty()) return list(last);
-         // What was known and is no longer listed was deleted meanwhile.
-         std::vector<Change> changes;
-         for (const auto& [key, stamp] : known_)
-           if (!listing_.contains(key) && stamp.value <= listing_epoch_.value)
-             changes.push_back({key, std::nullopt, wire::Stamp{listing_epoch_.value + 1}});
-         for (auto& [key, entry] : listing_) changes.push_back({key, std::move(entry.data), entry.stamp});
-         listing_.clear();
-         epoch_ = listing_epoch_;
-         publish(std::move(changes));
-         synced_ = true;
-         relist_ = false;
-         last_news_ = loop().now();
-         log_->info("state: read all keys at epoch {}", epoch_.value);
-         watch();
-       });
+  auto request = protocol::list_request(after);
+  send(std::move(request), kListS, [this, is_first, after = std::move(after)](const Response& response) {
+    auto page = protocol::parse_list(response, is_first);
+    if (std::holds_alternative<AnswerError>(page)) return list_again(after);
+    if (is_first) listing_epoch_ = std::get<protocol::KeyPage>(page).epoch;
+    take_page(std::move(std::get<protocol::KeyPage>(page)));
+  });
+}
+
+// The same page: from the first one, a service at its limit would keep a long list from ever ending.
+void Store::list_again(const std::string& after) {
+  list_timer_ = loop().after(loop().uniform(kRetryMinS, kRetryMaxS), [this, after] { list(after); });
+}
+
+void Store::take_page(protocol::KeyPage page) {
+  std::string last;
+  for (auto& [key, entry] : page.entries) {
+    listing_[key] = std::move(entry);
+    last = std::move(key);
+  }
+  if (page.has_next && !last.empty()) return list(std::move(last));
+  finish_list();
+}
+
+void Store::finish_list() {
+  // What was known and is no longer listed was deleted meanwhile.
+  std::vector<Change> changes;
+  for (const auto& [key, stamp] : known_)
+    if (!listing_.contains(key) && stamp.value <= listing_epoch_.value)
+      changes.push_back({key, std::nullopt, wire::Stamp{listing_epoch_.value + 1}});
+  for (auto& [key, entry] : listing_) changes.push_back({key, std::move(entry.data), entry.stamp});
+  listing_.clear();
+  epoch_ = listing_epoch_;
+  publish(std::move(changes));
+  synced_ = true;
+  relist_ = false;
+  last_news_ = loop().now();
+  log_->info("state: read all keys at epoch {}", epoch_.value);
+  watch();
 }
 
 void Store::publish(std::vector<Change> changes) {
   std::vector<Change> fresh;
   for (auto& change : changes) {
-    const auto found = known_.find(change.key);
-    if (found != known_.end() && found->second >= change.stamp) continue;
-    if (change.data)
-      known_[change.key] = change.stamp;
-    else if (found != known_.end())
-      known_.erase(found);
-    else
-      continue;
-    if (const auto own = own_.find(change.key); own != own_.end())
-      own_.erase(own);
-    else if (synced_)
-      writes_.spend(loop().now(), 1);
+    if (!take_revision(change)) continue;
+    count_write(change.key);
     fresh.push_back(std::move(change));
   }
   if (fresh.empty()) return;
@@ -124,44 +123,53 @@
   for (const auto& subscriber : subscribers_) subscriber(shared);
 }
 
-bool Store::apply_news(const Response& response) {
-  if (response.status == 410) {
-    if (!std::exchange(relist_, true)) {
-      log_->info("state: the watch is too far behind, reading all keys");
-      list("");
-    }
+// Whether the change is newer than what is known of its key, which it becomes.
+bool Store::take_revision(const Change& change) {
+  const auto found = known_.find(change.key);
+  if (found != known_.end() && found->second >= change.stamp) return false;
+  if (change.data) {
+    known_[change.key] = change.stamp;
+    return true;
+  }
+  if (found == known_.end()) return false;
+  known_.erase(found);
+  return true;
+}
+
+// Writes of this controller were counted when they were sent.
+void Store::count_write(const std::string& key) {
+  if (const auto own = own_.find(key); own != own_.end())
+    own_.erase(own);
+  else if (synced_)
+    writes_.spend(loop().now(), 1);
+}
+
+bool Store::apply_news(WatchAnswer answer) {
+  if (const auto* error = std::get_if<AnswerError>(&answer)) {
+    if (*error == AnswerError::compacted) list_anew();
     return false;
   }
-  if (response.status != 200) return false;
-  const Json news = Json::parse(response.body, nullptr, false);
-  if (!news.is_object() || !news.contains("epoch")) return false;
-  const wire::Epoch epoch{wire::count_field(news, "epoch")};
-  std::vector<Change> changes;
-  if (!wire::absent(news, "news"))
-    for (const auto& item : news["news"]) {
-      const wire::Stamp stamp{wire::count_field(item, "stamp")};
-      // Watch and barrier overlap: what an earlier response covered must not undo a later deletion.
-      if (stamp.value <= epoch_.value) continue;
-      if (item.contains("write"))
-        changes.push_back({wire::text_field(item, "write"), item.value("data", Json()), stamp});
-      else
-        changes.push_back({wire::text_field(item, "delete"), std::nullopt, stamp});
-    }
-  publish(std::move(changes));
-  epoch_ = std::max(epoch_, epoch);
+  auto& news = std::get<protocol::News>(answer);
+  publish(std::move(news.changes));
+  epoch_ = std::max(epoch_, news.epoch);
   last_news_ = loop().now();
   return true;
 }
 
+void Store::list_anew() {
+  if (std::exchange(relist_, true)) return;
+  log_->info("state: the watch is too far behind, reading all keys");
+  list("");
+}
+
 void Store::watch() {
   watch_timer_.reset();
-  std::string path = "/watch?starts=" + wire::kRoot + "&after=" + std::to_string(epoch_.value) +
-                     "&block_ms=" + std::to_string(static_cast<int>(kWatchS * 1000));
-  send(Method::get, std::move(path), "", kWatchS * 1.5, [this](const Response& response) {
-    const bool fine = apply_news(response);
+  send(protocol::watch_request(epoch_, kWatchMs), kWatchTimeoutS, [this](const Response& response) {
+    // Watch and barrier overlap: what an earlier response covered must not undo a later deletion.
+    const bool fine = apply_news(protocol::parse_watch(response, epoch_));
     if (relist_) return;
     // A short pause lets changes gather, so that a burst does not cost a request each.
-    const double pause = fine ? 1 / requests(limits_, kWatchShare) : loop().uniform(0.1, 0.3);
+    const double pause = fine ? 1 / requests(limits_, kWatchShare) : loop().uniform(kRetryMinS, kRetryMaxS);
     watch_timer_ = loop().after(pause, [this] { watch(); });
   });
 }
@@ -183,33 +191,34 @@
   if (barrier_running_ || waiting_.empty()) return;
   const double wait =
       waiting_urgent_ ? 0 : last_barrier_ + 1 / requests(limits_, kBarrierShare) - loop().now();
-  if (wait > 0) {
-    if (!barrier_timer_)
-      barrier_timer_ = loop().after(wait, [this] {
-        barrier_timer_.reset();
-        run_barrier();
-      });
-    return;
-  }
+  if (wait > 0) return run_barrier_later(wait);
   barrier_running_ = true;
   waiting_urgent_ = false;
   last_barrier_ = loop().now();
   auto served_now = std::exchange(waiting_, {});
   // A watch that does not block reads every change up to now: whatever was committed before this request
   // was sent is in its answer.
-  std::string path =
-      "/watch?starts=" + wire::kRoot + "&after=" + std::to_string(epoch_.value) + "&block_ms=0";
-  send(Method::get, std::move(path), "", kAnswerS,
+  send(protocol::watch_request(epoch_, 0), kAnswerS,
        [this, served_now = std::move(served_now)](const Response& response) mutable {
-         barrier_over(std::move(served_now), response);
+         barrier_over(std::move(served_now), protocol::parse_watch(response, epoch_));
        });
 }
 
-void Store::barrier_over(std::vector<Waiting> served_now, const Response& response) {
-  const bool fine = !relist_ && apply_news(response);
+void Store::run_barrier_later(double wait_s) {
+  if (barrier_timer_) return;
+  barrier_timer_ = loop().after(wait_s, [this] {
+    barrier_timer_.reset();
+    run_barrier();
+  });
+}
+
+void Store::barrier_over(std::vector<Waiting> served_now, WatchAnswer answer) {
+  const auto* error = std::get_if<AnswerError>(&answer);
+  const bool limited = error != nullptr && *error == AnswerError::limited;
+  const bool fine = !relist_ && apply_news(std::move(answer));
   barrier_running_ = false;
   for (auto& waiting : served_now)
-    if (response.status == kTooMany && loop().now() < waiting.until)
+    if (limited && loop().now() < waiting.until)
       waiting_.push_back(std::move(waiting));
     else
       waiting.done(fine);
@@ -233,48 +242,28 @@
     keys.push_back(write.key);
     own_.insert(write.key);
   }
-  Json when = Json::array();
-  for (const auto& condition : message.transaction.when)
-    when.push_back({{"k", condition.key}, {"stamp", condition.stamp.value}});
-  Json writes = Json::array();
-  for (const auto& write : message.transaction.writes) {
-    if (!write.data) {
-      writes.push_back({{"delete", write.key}});
-      continue;
-    }
-    Json item{{"write", write.key}, {"data", *write.data}};
-    if (write.hold) item["hold"] = *write.hold;
-    writes.push_back(std::move(item));
-  }
-  send(Method::post, "/commit", Json{{"when", std::move(when)}, {"writes", std::move(writes)}}.dump(),
-       kAnswerS,
-       [this, puts, done = std::move(message.done), keys = std::move(keys)](const Response& response) {
-         CommitResult result;
-         const Json body = Json::parse(response.body, nullptr, false);
-         if (body.is_object() && body.contains("epoch"))
-           result.epoch = wire::Epoch{wire::count_field(body, "epoch")};
-         if (response.status == 200)
-           result.outcome = Outcome::done;
-         else if (response.status == 409)
-           result.outcome = Outcome::conflict;
-         else if (response.status == 400)
-           result.outcome = Outcome::malformed;
-         else if (response.status == kTooMany)
-           result.outcome = Outcome::limited;
-         else if (response.status != 0)
-           result.outcome = Outcome::refused;
-         // Not written, so not to be counted against what may be.
-         if (result.outcome == Outcome::limited) writes_.spend(loop().now(), -puts);
-         if (response.status == 400)
-           log_->warn("state: transaction of {} writes ({}{}) refused as malformed: {}", keys.size(),
-                      keys.empty() ? "" : keys.front(), keys.size() > 1 ? ", ..." : "", response.body);
-         if (result.outcome != Outcome::done)  // no change of ours will be seen, or only as another's
-           for (const auto& key : keys)
-             if (const auto own = own_.find(key); own != own_.end()) own_.erase(own);
+  send(protocol::commit_request(message.transaction), kAnswerS,
+       [this, done = std::move(message.done), keys = std::move(keys)](const Response& response) {
+         const auto result = protocol::parse_commit(response);
+         if (result.outcome == Outcome::malformed) warn_of_malformed(keys, response.body);
+         if (result.outcome != Outcome::done) forget_writes(keys, result.outcome);
          done(result);
        });
 }
 
+void Store::warn_of_malformed(const std::vector<std::string>& keys, const std::string& reason) {
+  log_->warn("state: transaction of {} writes ({}{}) refused as malformed: {}", keys.size(),
+             keys.empty() ? "" : keys.front(), keys.size() > 1 ? ", ..." : "", reason);
+}
+
+// No change of ours will be seen, or only as another's.
+void Store::forget_writes(const std::vector<std::string>& keys, Outcome outcome) {
+  // Not written, so not to be counted against what may be.
+  if (outcome == Outcome::limited) writes_.spend(loop().now(), -static_cast<double>(keys.size()));
+  for (const auto& key : keys)
+    if (const auto own = own_.find(key); own != own_.end()) own_.erase(own);
+}
+
 void Store::on(Fetch& message) {
   auto& waiting = fetching_[message.key];
   waiting.push_back(std::move(message.done));
@@ -287,54 +276,49 @@
   while (!to_fetch_.empty()) {
     const auto [key, until] = to_fetch_.front();
     const bool late = loop().now() > until;
-    if (!late && !fetches_.take(loop().now())) {
-      if (!fetch_timer_)
-        fetch_timer_ = loop().after(1 / requests(limits_, kFetchShare), [this] {
-          fetch_timer_.reset();
-          next_fetch();
-        });
-      return;
-    }
+    if (!late && !fetches_.take(loop().now())) return next_fetch_later();
     to_fetch_.pop_front();
-    if (late) {  // whoever asked has gone: those who came lately can still be answered in time
-      fetched(key, false, std::nullopt);
-      continue;
-    }
-    send(Method::get, "/keys/" + key, "", kAnswerS, [this, key](const Response& response) {
-      const Json body = response.status == 200 ? Json::parse(response.body, nullptr, false) : Json();
-      if (!body.is_object() || !body.contains("data"))
-        return fetched(key, response.status == 404, std::nullopt);
-      fetched(key, true, Entry{body["data"], wire::Stamp{wire::count_field(body, "stamp")}});
-    });
+    if (late)  // whoever asked has gone: those who came lately can still be answered in time
+      fetched(key, {});
+    else
+      fetch(key);
   }
 }
 
-void Store::fetched(const std::string& key, bool known, const std::optional<Entry>& entry) {
+void Store::next_fetch_later() {
+  if (fetch_timer_) return;
+  fetch_timer_ = loop().after(1 / requests(limits_, kFetchShare), [this] {
+    fetch_timer_.reset();
+    next_fetch();
+  });
+}
+
+void Store::fetch(const std::string& key) {
+  send(protocol::key_request(key), kAnswerS,
+       [this, key](const Response& response) { fetched(key, protocol::parse_key(response)); });
+}
+
+void Store::fetched(const std::string& key, const KeyAnswer& answer) {
   const auto waiting = fetching_.extract(key);
-  for (const auto& done : waiting.mapped()) done(known, entry);
+  for (const auto& done : waiting.mapped()) done(answer);
 }
 
 void Store::on(OpenLease& message) {
-  const auto ttl = static_cast<std::uint64_t>(message.ttl_s * 1000);
-  send(Method::post, "/leases", Json{{"ttl_ms", ttl}}.dump(), kAnswerS,
+  send(protocol::open_lease_request(message.ttl_s), kAnswerS,
        [done = std::move(message.done)](const Response& response) {
-         const Json body = response.status == 200 ? Json::parse(response.body, nullptr, false) : Json();
-         if (!body.is_object() || !body.contains("hold")) return done(std::nullopt);
-         done(wire::count_field(body, "hold"));
+         done(protocol::parse_open_lease(response));
        });
 }
 
 void Store::on(TouchLease& message) {
-  send(Method::post, "/leases/" + std::to_string(message.hold) + "/touch", "{}", message.timeout_s,
+  send(protocol::renew_lease_request(message.hold), message.timeout_s,
        [done = std::move(message.done)](const Response& response) {
-         if (response.status == 200) return done(true);
-         if (response.status == 404) return done(false);
-         done(std::nullopt);
+         done(protocol::parse_renew_lease(response));
        });
 }
 
 void Store::on(EndLease& message) {
-  send(Method::del, "/leases/" + std::to_string(message.hold), "", kAnswerS, [](const Response&) {});
+  send(protocol::end_lease_request(message.hold), kAnswerS, [](const Response&) {});
 }
 
 }  // namespace bankhill::state
--- a/src/state/store.hpp
+++ b/src/state/store.hpp
@@ -11,93 +11,80 @@
 #include <string>
 #include <type_traits>
 #include <utility>
+#include <variant>
 #include <vector>
 
 #include "net/http.hpp"
 #include "net/rate_limit.hpp"
 #include "runtime/actor.hpp"
 #include "runtime/log.hpp"
+#include "state/state_protocol.hpp"
+#include "state/transaction.hpp"
 #include "state/view.hpp"
 
 namespace bankhill::state {
 
+// Of the state service, as it announces them.
 struct Limits {
-  double rps = 100;
-  double write_rps = 50;
-  double value_kb = 8;
-  std::size_t txn_ops = 16;
+  double rps = 100;             // requests a second
+  double write_rps = 50;        // puts a second
+  double value_kb = 8;          // of one value
+  std::size_t txn_ops = 16;     // writes of one transaction
   std::size_t controllers = 3;  // that share these limits
 };
 
-struct Condition {
-  std::string key;
-  wire::Stamp stamp;
-};
-
-struct Write {
-  std::string key;
-  std::optional<wire::Json> data;  // empty: delete
-  std::optional<std::uint64_t> hold;
-};
+using protocol::KeyAnswer;
+using protocol::KeyStatus;
+using protocol::LeaseRenewal;
 
-struct Transaction {
-  std::vector<Condition> when;
-  std::vector<Write> writes;
-};
+// Messages of the store.
 
-enum class Outcome {
-  done,
-  conflict,   // a condition failed: nothing was written
-  refused,    // not executed
-  limited,    // not executed, since the limits are used up: no other controller would fare better
-  malformed,  // not executed, and it will not be as it is: too large, too many writes, or an ended lease
-  unknown,    // may have been executed, or may still be
-};
-
-struct CommitResult {
-  Outcome outcome = Outcome::unknown;
-  wire::Epoch epoch;
-};
-
-// Messages.
+// Carries out a transaction.
 struct Commit {
   Transaction transaction;
   std::function<void(CommitResult)> done;
   // What users and elections wait for. Bookkeeping leaves them a part of the limits.
   bool urgent = true;
 };
-struct Sync {  // read barrier: done(true) once every change committed before this message has been published
+// Read barrier: done(true) once every change committed before this message has been published.
+struct Sync {
   std::function<void(bool)> done;
-  bool urgent = false;
+  bool urgent = false;  // sent at once, whatever the barriers have used of the limits
 };
-struct Fetch {  // one key, read from the service itself; several requests for one key at a time are one
+// Reads one key from the service itself; several requests for one key at a time are one.
+struct Fetch {
   std::string key;
-  std::function<void(bool known, std::optional<Entry>)> done;
+  std::function<void(const KeyAnswer&)> done;
 };
+// Opens a lease.
 struct OpenLease {
   double ttl_s = 0;
-  std::function<void(std::optional<std::uint64_t> hold)> done;
+  std::function<void(std::optional<std::uint64_t> hold)> done;  // nothing: none, or it cannot be told
 };
+// Renews a lease.
 struct TouchLease {
   std::uint64_t hold = 0;
   double timeout_s = 0;
-  // true: renewed, false: the lease has ended, nothing: cannot tell.
-  std::function<void(std::optional<bool>)> done;
+  std::function<void(LeaseRenewal)> done;
 };
+// Ends a lease; nobody waits for the answer.
 struct EndLease {
   std::uint64_t hold = 0;
 };
 
+// The actor that speaks to the state service for all others of a controller.
 class Store : public runtime::Actor<Store, Commit, Sync, Fetch, OpenLease, TouchLease, EndLease> {
  public:
   Store(runtime::Loop& loop, net::Client& client, runtime::Log log, std::string address, Limits limits);
 
   // Subscribers get every change once, in order; call before start().
   void subscribe(std::function<void(Changes)> subscriber) { subscribers_.push_back(std::move(subscriber)); }
+  // Reads all keys, then watches them.
   void start();
   // Seconds since news were last had from the service. Leases and transactions that are answered are not
   // enough: without news no question of a user can be.
   double silence() const { return loop().now() - last_news_; }
+  // Whether all keys were read once.
   bool synced() const { return synced_; }
   // Whether the key was there at the last news. Keys of jobs are never deleted, so it tells a job that left
   // memory from one that was never accepted.
@@ -113,6 +100,7 @@
       return std::nullopt;
     }
   }
+  // Of the service that this store was made for.
   const Limits& limits() const { return limits_; }
   // Puts that bookkeeping may commit now. Every controller sees every change, so it knows what the others
   // use: nothing of the limit is set aside for controllers that write nothing.
@@ -132,17 +120,35 @@
     std::function<void(bool)> done;
     double until = 0;  // answered by then in any case
   };
-  void send(net::Method method, std::string path, std::string body, double timeout_s, net::Reply reply);
+  using WatchAnswer = std::variant<protocol::News, protocol::AnswerError>;
+
+  void send(net::Request request, double timeout_s, net::Reply reply);
+
   void list(std::string after);
+  void list_again(const std::string& after);
+  void list_anew();
+  void take_page(protocol::KeyPage page);
+  void finish_list();
+
+  void publish(std::vector<Change> changes);
+  bool take_revision(const Change& change);
+  void count_write(const std::string& key);
+  void set_aside(const std::string& key, wire::Stamp stamp, const char* why);
+
   void watch();
-  void run_barrier();
   void heartbeat();
-  bool apply_news(const net::Response& response);
-  void barrier_over(std::vector<Waiting> served_now, const net::Response& response);
+  bool apply_news(WatchAnswer answer);
+  void run_barrier();
+  void run_barrier_later(double wait_s);
+  void barrier_over(std::vector<Waiting> served_now, WatchAnswer answer);
+
+  void warn_of_malformed(const std::vector<std::string>& keys, const std::string& reason);
+  void forget_writes(const std::vector<std::string>& keys, Outcome outcome);
+
   void next_fetch();
-  void fetched(const std::string& key, bool known, const std::optional<Entry>& entry);
-  void set_aside(const std::string& key, wire::Stamp stamp, const char* why);
-  void publish(std::vector<Change> changes);
+  void next_fetch_later();
+  void fetch(const std::string& key);
+  void fetched(const std::string& key, const KeyAnswer& answer);
 
   net::Client& client_;
   runtime::Log log_;
