--- a/src/leader/fleet.cpp
+++ b/src/leader/fleet.cpp
@@ -597,7 +597,7 @@
       heard_directly_ < machine.last_contact + limits.gone / 2 && silence < settings_.lease_s)
     return;
   // Nor while we are in doubt whether anybody hears us.
-  if (machine.confirmed && sample_since_ >= 0 && silence < settings_.lease_s) return;
+  if (machine.confirmed && reachability_probe_.failing() && silence < settings_.lease_s) return;
   // Many of a zone at once: rather the network; releasing them would end work that goes on there.
   if (many_unheard(machine) && now - std::max(machine.last_contact, reign_since_) < settings_.lease_s) return;
   if (!machine.warned_until && machine.reclaimable && !machine.releasing)
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -18,15 +18,6 @@
 constexpr double kWatchS = 1.0;  // in which the watch goes round the fleet once
 constexpr double kSettleS = 1.0;
 constexpr double kCatalogueRounds = 4;  // the catalogue is read again every so many rounds
-constexpr std::size_t kSample = 48;     // machines asked to see how far the leader reaches
-constexpr std::size_t kSampleLeast = 4;
-constexpr double kSampleFailed = 0.5;  // of them unanswered: another controller will do better
-// Times that a worker waits for an answer: how long reports are watched for whose fault it is that samples
-// fail, and after which a machine counts as one that does not report either, beyond its report interval.
-constexpr double kSampleMemory = 3.5;
-constexpr double kSampleMute = 1.5;
-constexpr double kSampleKnown = 0.25;   // of those unanswered: so many tell
-constexpr std::size_t kSuspect = 3;     // direct requests unanswered within a pace
 constexpr std::size_t kAskAtOnce = 64;  // machines asked directly at the same time when a reign begins
 
 constexpr std::size_t kStrangers = 1024;  // remembered at the same time
@@ -54,7 +45,10 @@
       queue_(queue_settings(), queue_facts()),
       replicas_({settings_.gang_wait_s, settings_.gang_peer_s, settings_.gang_wait_s}),
       kept_room_({settings_.pace_s, kKeptOverdue * settings_.begin_within_s, kKeptMost}),
-      bounds_(limits_of(settings_.teams), kBoundSteps) {
+      bounds_(limits_of(settings_.teams), kBoundSteps),
+      reachability_probe_(loop, log_,
+                          {settings_.lease_s, settings_.report_s, settings_.pace_s, settings_.controllers},
+                          reachability_ports()) {
   value_bytes_ = wire::usable_bytes(settings_.value_kb);
   most_writes_ = settings_.txn_ops;
 }
@@ -197,8 +191,7 @@
   made_room_.reset();
   outlook_.clear();
   asking_ = 0;
-  unanswered_ = sample_out_ = 0;
-  sample_since_ = -1e9;
+  reachability_probe_.reset();
   records_made_ = 0;
   committing_ = raising_ = listing_ = releasing_ = false;
 }
@@ -502,77 +495,33 @@
   act_on_replicas();
   if (now >= next_progress_) publish_progress();
   if (now >= next_summary_) summarize();
-  check_reach();
+  reachability_probe_.tick(reign_since_);
   write_cancelled();
   send_releases();
   flush();
 }
 
-// A leader on the small side of a cut between zones, or cut off from the workers, keeps its lease through the
-// state service and can give orders to few: it looks how far it reaches, and gives way.
-void Leader::check_reach() {
-  const double now = loop().now();
-  if (now >= next_unanswered_) {
-    next_unanswered_ = now + settings_.pace_s;
-    unanswered_ = 0;
-  }
-  if (now < next_sample_ || sample_out_ > 0 || settings_.controllers < 2) return;
-  // One that has just begun asks everybody anyway; and two must not pass it to and fro.
-  if (now - reign_since_ < settings_.lease_s / 2) return;
-  if (unanswered_ < kSuspect && ports_.sibling_heard()) return;
-  next_sample_ = now + 2 * settings_.pace_s;
-  std::vector<Machine*> able;
-  for (auto& [host, machine] : fleet_)
-    if (machine.up && machine.confirmed && !machine.quiet && !machine.releasing) able.push_back(&machine);
-  if (able.size() < kSampleLeast) return;
-  std::shuffle(able.begin(), able.end(), loop().random());
-  able.resize(std::min(able.size(), kSample));
-  sample_size_ = sample_out_ = able.size();
-  sample_failed_ = sample_heard_ = sample_lost_ = sample_mute_ = 0;
-  for (auto* machine : able)
-    send_direct(*machine, {}, [this, host = machine->host] {
-      const auto* asked = fleet_.peek(host);
-      if (asked != nullptr && asked->probes_unanswered > 0) {
-        ++sample_failed_;
-        const double heard = asked->hearing.heard_by_sibling();
-        const double lost = asked->hearing.lost_by_sibling();
-        if (sample_since_ >= 0 && std::max(heard, lost) >= sample_since_)
-          ++(heard >= lost ? sample_heard_ : sample_lost_);
-        if (loop().now() - asked->last_report > kSampleMute * net::kWorkerWaitS + settings_.report_s)
-          ++sample_mute_;
-      }
-      if (sample_out_ == 0 || --sample_out_ > 0) return;
-      judge_reach();
-    });
+ReachabilityProbe::Ports Leader::reachability_ports() {
+  return {[this] { return reachability_candidates(); },
+          [this](const wire::HostId& machine_id, std::function<void()> done) {
+            if (auto* machine = fleet_.find(machine_id)) send_direct(*machine, {}, std::move(done));
+          },
+          [this](const wire::HostId& machine_id) -> std::optional<ReachabilityProbe::MachineState> {
+            const auto* machine = fleet_.peek(machine_id);
+            if (machine == nullptr) return std::nullopt;
+            return ReachabilityProbe::MachineState{machine->probes_unanswered > 0,
+                                                   machine->hearing.heard_by_sibling(),
+                                                   machine->hearing.lost_by_sibling(), machine->last_report};
+          },
+          [this] { return ports_.sibling_heard(); }, [this] { ports_.resign(); }};
 }
 
-// Machines that answer no direct request but report show whose fault it is: those that stay with a sibling
-// hear what it answers, so it is us whom they do not hear; those that lose what siblings answer as well are
-// deaf, and another leader would reach no more of them.
-void Leader::judge_reach() {
-  const double now = loop().now();
-  if (static_cast<double>(sample_failed_) <= kSampleFailed * static_cast<double>(sample_size_)) {
-    sample_since_ = -1e9;
-    return;
-  }
-  const bool mute = 2 * sample_mute_ > sample_failed_;
-  if (sample_since_ < 0) sample_since_ = now;
-  const bool known =
-      kSampleKnown * static_cast<double>(sample_failed_) <= static_cast<double>(sample_heard_ + sample_lost_);
-  // One that hears no sibling is on the smaller side of a cut: there is nobody from whom more could be
-  // learned, and those that are not reached are soon no part of the sample any more.
-  if (!known && !mute && ports_.sibling_heard() && now - sample_since_ < kSampleMemory * net::kWorkerWaitS) {
-    next_sample_ = std::min(next_sample_, now + settings_.pace_s / 2);
-    return;
-  }
-  if (sample_lost_ > sample_heard_) {
-    log_->warn(
-        "leader: {} of {} machines cannot be reached from here, nor by the siblings that they report to",
-        sample_failed_, sample_size_);
-    return;
-  }
-  log_->warn("leader: {} of {} machines cannot be reached from here", sample_failed_, sample_size_);
-  ports_.resign();
+std::vector<wire::HostId> Leader::reachability_candidates() {
+  std::vector<wire::HostId> candidates;
+  for (const auto& [machine_id, machine] : fleet_)
+    if (machine.up && machine.confirmed && !machine.quiet && !machine.releasing)
+      candidates.push_back(machine_id);
+  return candidates;
 }
 
 // At a thousand machines a line for each event would cost more than the event: the log gets their number.
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -14,6 +14,7 @@
 
 #include "calendar/outlook.hpp"
 #include "cloud/cloud.hpp"
+#include "leader/reachability_probe.hpp"
 #include "leader/strangers.hpp"
 #include "model/boots.hpp"
 #include "model/cancel_budget.hpp"
@@ -201,8 +202,8 @@
   bool adopt_finished(const std::string& key, const wire::Json& data);
   void ask_unconfirmed();
   void summarize();
-  void check_reach();
-  void judge_reach();
+  ReachabilityProbe::Ports reachability_ports();
+  std::vector<wire::HostId> reachability_candidates();
   void resync();
   void fetch_catalogue();
   void publish_progress();
@@ -412,17 +413,8 @@
   calendar::Outlook outlook_;  // of the tenants' cutoffs
   shares::Bounds bounds_;
   wire::HostId room_cursor_;
-  std::size_t unanswered_ = 0;  // direct requests unanswered and reports relayed, in this pace
-  double heard_directly_ = 0;   // when a machine last reached us, or we it, without a sibling's help
-  std::size_t sample_out_ = 0;
-  std::size_t sample_failed_ = 0;
-  std::size_t sample_size_ = 0;
-  std::size_t sample_heard_ = 0;  // of those unanswered: hear what siblings answer
-  std::size_t sample_lost_ = 0;   // do not hear that either
-  std::size_t sample_mute_ = 0;   // do not even report
-  double sample_since_ = -1e9;    // since when samples failed without telling whose fault it is
-  double next_sample_ = 0;
-  double next_unanswered_ = 0;
+  ReachabilityProbe reachability_probe_;
+  double heard_directly_ = 0;  // when a machine last reached us, or we it, without a sibling's help
   std::map<std::string, std::uint64_t> tally_;  // of what happened since the last summary in the log
   model::Stockouts stockouts_;
   std::map<std::string, Reclaims> reclaims_;
--- a/src/leader/reports.cpp
+++ b/src/leader/reports.cpp
@@ -57,7 +57,7 @@
 void Leader::on(Reported& message) {
   if (!valid()) return message.reply({});
   const auto& report = message.report;
-  if (message.via == net::Via::sibling) ++unanswered_;
+  if (message.via == net::Via::sibling) reachability_probe_.note_suspicion();
   const bool brief = message.base != 0;
   const wire::Ruling in_full{0, wire::Verdict::in_full, {}, {}};
   auto* machine = fleet_.find(report.host);
@@ -670,7 +670,7 @@
   note_hearing(machine, hearing);
   if (!certain) {
     ++machine.probes_unanswered;
-    ++unanswered_;
+    reachability_probe_.note_suspicion();
     return;
   }
   heard_directly_ = loop().now();
