--- a/src/leader/fleet.cpp
+++ b/src/leader/fleet.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "leader/leader.hpp"
+#include "model/decay.hpp"
 
 namespace bankhill::leader {
 
@@ -11,18 +12,11 @@
 using queue::task_s;
 
 namespace {
-constexpr std::uint32_t kProbesUnanswered = 2;  // with at least so many unanswered
-constexpr double kAskedAgain = 1.5;   // paces after which one that this reign never heard is given up
-constexpr double kMassShare = 0.4;    // more machines silent than this: it is our network, not theirs
 constexpr double kWindowShare = 0.5;  // of the time left until a job is due
 constexpr double kRounding = 1e-6;
 constexpr double kDemandBoots = 4;   // boot times over which arrivals are averaged
 constexpr double kReservePaces = 2;  // services that come within this find room
 constexpr double kPlanGap = 0.3;     // between two plans made on events
-// Ratios to a type's usual boot time.
-constexpr double kBootLate = 1.6;  // no longer counted as coming: the protocol's usual boot takes up to 1.5
-constexpr double kBootNever = 3;   // given up
-constexpr double kMemory = 4;      // rounds after which a boot or a reclaim counts a third: a wave passes
 constexpr int kRentalsAtOnce = 8;
 const std::string kSurplus = "more than planned";
 constexpr double kLeastChargeS = 60;        // the protocol: a machine that is deleted costs at least this
@@ -41,7 +35,7 @@
 }
 
 // What is left, after so many seconds, of something counted.
-double Leader::kept(double passed) const { return std::exp(-passed / (kMemory * settings_.round_s)); }
+double Leader::kept(double passed) const { return model::decay(passed, settings_.round_s); }
 
 // Reclaims are forgotten after some rounds. Counted for good, one wave kept every spot type above phi for the
 // rest of the reign: alpha's budget stayed unspent and work waited (days/ops-boots-slow).
@@ -490,126 +484,42 @@
   return type == nullptr ? kLeastChargeS : type->boot_s;
 }
 
-// Counts a boot as in time or late, and tells the operators when boots in general become bad or well again.
-void Leader::note_boot(bool in_time) {
-  const double now = loop().now();
-  const auto bad = boots_.note(in_time, kept(now - std::exchange(boots_at_, now)));
-  if (!bad) return;
-  if (*bad)
-    log_->warn("boots: {:.0f} % of the last {:.0f} machines are late; others are rented in their place",
-               100 * boots_.late_share(), boots_.known());
-  else
-    log_->info("boots: as usual again, {:.0f} % of the last {:.0f} machines are late",
-               100 * boots_.late_share(), boots_.known());
-}
-
-void Leader::watch_boot(Machine& machine) {
-  const double boot = boot_s(machine);
-  const double booting = loop().now() - machine.first_seen;
-  if (booting > kBootLate * boot && !std::exchange(machine.late, true)) {
-    note_boot(false);
-    fleet_.refresh(machine);
-    plan_soon();
-  }
-  if (booting > kBootNever * boot) release(machine, "never came up");
-}
-
-model::Silence Leader::silence() const {
-  return model::Silence{
-      {net::kWorkerWaitS, settings_.report_s, settings_.pace_s, settings_.lease_s, settings_.controllers}};
-}
-
-void Leader::note_reporting(Machine& machine) {
-  const auto before = machine.reporting;
-  machine.reporting = silence().reporting(unreported(machine));
-  if (machine.reporting == before) return;
-  fleet_.refresh(machine);
-  if (machine.reporting == model::Reporting::comes && machine.binds.empty())
-    machine.idle_since = loop().now();
-  place_soon();
-  plan_soon();
-}
-
-double Leader::unreported(const Machine& machine) const {
-  return loop().now() - std::max({machine.reported_at, reign_since_, takes_reports_since_});
+MachineMonitor::Ports Leader::monitor_ports() {
+  return {
+      .send_probe = [this](Machine& machine) { send_direct(machine, {}); },
+      .terminate = [this](Machine& machine,
+                          MachineMonitor::Fault fault) { release(machine, MachineMonitor::text(fault)); },
+      .drain = [this](Machine& machine, const std::string& reason) { drain(machine, reason); },
+      .sessions_over = [this](Machine& machine, wire::Tenure next) { new_tenure(machine, next); },
+      .lost_to_cloud = [this](const Machine& machine) { reclaims_[machine.flavor].count += 1; },
+      .usual_boot_s = [this](const Machine& machine) { return boot_s(machine); },
+      .count_event = [this](const std::string& event) { ++tally_[event]; },
+      .plan_soon = [this] { plan_soon(); },
+      .place_soon = [this] { place_soon(); },
+  };
 }
 
 void Leader::watch(Machine& machine) {
-  const double now = loop().now();
-  if (!machine.up) return watch_boot(machine);
-  const double silence = now - machine.last_contact;
-  // Services are missed at once: their machines are asked between two reports, and given up sooner.
-  const bool watched = machine.service_cores > 0;
-  const bool unanswered = machine.probes_unanswered > 0;
-  const bool hears = machine.hearing.takes_tasks();
-  const auto limits = this->silence().limits({watched, hears, unanswered});
-  if (machine.hearing.ask_due(now) || (silence > limits.ask && now - machine.last_probe > limits.again))
-    send_direct(machine, {});
-  if (!machine.quiet && (silence > limits.quiet || (watched && unanswered))) {
-    machine.quiet = true;
-    fleet_.refresh(machine);
-  }
-  note_reporting(machine);
-  // Invariant 5: no earlier leader answered after this reign began, so the lease has run out by now.
-  if (now > machine.lease.surely_over_at(settings_.lease_s)) {
-    if (!machine.confirmed) {
-      log_->debug("machine {}: unconfirmed and its lease has run out", machine.host.value);
-      machine.confirmed = true;
-      drain(machine, "lease ran out unheard");
-    }
-    // Once, and nothing is placed there until it is heard again: a task told to start in a session that
-    // is only assumed could run although its lease seems to have run out long ago.
-    if (!std::exchange(machine.lost, true)) {
-      const wire::Tenure next{machine.tenure.value + 1};
-      new_tenure(machine, next);
-      machine.tenure = next;
-      machine.counter = machine.reported = 0;
-    }
-    fleet_.refresh(machine);
-  }
-  const bool heard_since = machine.last_contact > machine.doubt_at;
-  for (const auto& [member, bind] : machine.binds)
-    doubtful_ = doubtful_ || (heard_since && bind.stopping && bind.starts.in_doubt(wire::Fence{term_}));
-  for (const auto& [member, leftover] : machine.leftovers)
-    doubtful_ = doubtful_ || (heard_since && leftover.starts.in_doubt(wire::Fence{term_}));
+  if (!machine.up) return machine_monitor_.check_boot(machine);
+  const auto silence = machine_monitor_.check_silence(machine);
+  machine_monitor_.check_heartbeats(machine, silence);
+  note_starts_in_doubt(machine);
   spare(machine);
   if (machine.draining && machine.binds.empty() && machine.confirmed)
     return release(machine, machine.drain_reason);
-  if (machine.warned_until && now > *machine.warned_until) return release(machine, "its notice has run out");
+  if (machine.warned_until && silence.now > *machine.warned_until)
+    return release(machine, "its notice has run out");
   if (return_idle(machine)) return;
-  // One that this reign never heard holds up others' tasks: it is waited for less long.
-  const bool given_up =
-      machine.probes_unanswered >= kProbesUnanswered &&
-      (machine.confirmed ? silence > limits.gone : now - reign_since_ > kAskedAgain * settings_.pace_s);
-  if (!machine.confirmed && hears && machine.probes_unanswered > 0 &&
-      now - machine.last_probe > kUnheardPatience * settings_.pace_s)
-    send_direct(machine, {});
-  if (!given_up) {
-    // What it ran is over with its session; as long as something is bound there it hears after all.
-    const bool deaf = machine.hearing.give_up(now, hearing_times());
-    const bool mute = this->silence().give_up(unreported(machine));
-    if ((deaf || mute) && machine.binds.empty() && machine.confirmed && !many_unheard(machine))
-      release(machine, deaf ? "deaf" : "mute");
-    return;
-  }
-  // It may be us: another machine must have been heard directly since, or be all that there is.
-  if (machine.confirmed && fleet_.total().up > 1 &&
-      heard_directly_ < machine.last_contact + limits.gone / 2 && silence < settings_.lease_s)
-    return;
-  // Nor while we are in doubt whether anybody hears us.
-  if (machine.confirmed && reachability_probe_.failing() && silence < settings_.lease_s) return;
-  // Many of a zone at once: rather the network; releasing them would end work that goes on there.
-  if (many_unheard(machine) && now - std::max(machine.last_contact, reign_since_) < settings_.lease_s) return;
-  if (!machine.warned_until && machine.reclaimable && !machine.releasing)
-    reclaims_[machine.flavor].count += 1;
-  release(machine, "silent");
-}
-
-// Many of a zone at once: rather the network, or us; returned one by one the fleet would be empty.
-bool Leader::many_unheard(const Machine& machine) const {
-  const auto zone = fleet_.zone(machine.rack_room);
-  const auto unheard = zone.quiet + zone.deaf + zone.unconfirmed;
-  return unheard >= 2 && static_cast<double>(unheard) > kMassShare * static_cast<double>(zone.up);
+  machine_monitor_.check_given_up(machine, silence, reachability_probe_.failing());
+}
+
+// Whether a start sent directly may still be executed there although it is to be taken back.
+void Leader::note_starts_in_doubt(const Machine& machine) {
+  if (machine.last_contact <= machine.doubt_at) return;
+  const wire::Fence token{term_};
+  for (const auto& [task, assignment] : machine.binds)
+    doubtful_ = doubtful_ || (assignment.stopping && assignment.starts.in_doubt(token));
+  for (const auto& [task, exited] : machine.leftovers) doubtful_ = doubtful_ || exited.starts.in_doubt(token);
 }
 
 void Leader::release(Machine& machine, const std::string& reason) {
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -48,7 +48,12 @@
       bounds_(limits_of(settings_.teams), kBoundSteps),
       reachability_probe_(loop, log_,
                           {settings_.lease_s, settings_.report_s, settings_.pace_s, settings_.controllers},
-                          reachability_ports()) {
+                          reachability_ports()),
+      machine_monitor_(loop, log_,
+                       {{net::kWorkerWaitS, settings_.report_s, settings_.pace_s, settings_.lease_s,
+                         settings_.controllers},
+                        settings_.round_s},
+                       fleet_, monitor_ports()) {
   value_bytes_ = wire::usable_bytes(settings_.value_kb);
   most_writes_ = settings_.txn_ops;
 }
@@ -141,6 +146,7 @@
   reigning_ = true;
   const double now = loop().now();
   reign_since_ = now;
+  machine_monitor_.begin_term();
   next_round_ = next_list_ = next_catalogue_ = next_sync_ = next_progress_ = next_settle_ = next_summary_ =
       now;
   tries_ = rentals_made_ = 0;
@@ -473,7 +479,7 @@
   // machine, where another would have to ask all of them, so it is given the time to listen.
   if (hold_ != 0 && deaf() && now < valid_until_ && now - renewed_since_ > kListenS) return ports_.resign();
   // Where no report can be taken, none that is missing tells anything of its machine.
-  if (!valid() || passed > settings_.pace_s) takes_reports_since_ = now;
+  if (!valid() || passed > settings_.pace_s) machine_monitor_.listens_from_now();
   if (!valid()) return;
   age_reclaims(passed);
   if (now >= next_catalogue_) fetch_catalogue();
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -14,13 +14,12 @@
 
 #include "calendar/outlook.hpp"
 #include "cloud/cloud.hpp"
+#include "leader/machine_monitor.hpp"
 #include "leader/reachability_probe.hpp"
 #include "leader/strangers.hpp"
-#include "model/boots.hpp"
 #include "model/cancel_budget.hpp"
 #include "model/fleet.hpp"
 #include "model/job.hpp"
-#include "model/silence.hpp"
 #include "model/stockouts.hpp"
 #include "model/waits.hpp"
 #include "net/http.hpp"
@@ -38,9 +37,6 @@
 
 namespace bankhill::leader {
 
-// Paces for the answer of a machine that this reign has not heard: it holds up others' tasks.
-constexpr double kUnheardPatience = 0.5;
-
 constexpr unsigned kTryBits = 24;  // attempts of one term; the term is above them
 inline std::uint64_t started_under(wire::TryNo try_no) { return try_no.value >> kTryBits; }
 
@@ -249,8 +245,6 @@
                    const std::string& by);
   void hear(model::Machine& machine, const wire::Report& report, const std::string& by, bool lost_start,
             bool ran_start);
-  void note_hearing(model::Machine& machine, model::Hearing::State before);
-  model::Hearing::Times hearing_times() const;
   void heard(model::Machine& machine, const wire::Report& report, bool direct);
   wire::Ruling granted(std::vector<wire::Order> orders) const;
   void apply_member(model::Machine& machine, const wire::MemberReport& member);
@@ -336,12 +330,8 @@
   void settle_rentals();
   void watch_machines(double share);
   void watch(model::Machine& machine);
-  model::Silence silence() const;
-  void note_reporting(model::Machine& machine);
-  double unreported(const model::Machine& machine) const;  // seconds
-  bool many_unheard(const model::Machine& machine) const;
-  void watch_boot(model::Machine& machine);
-  void note_boot(bool in_time);
+  MachineMonitor::Ports monitor_ports();
+  void note_starts_in_doubt(const model::Machine& machine);
   double boot_s(const model::Machine& machine) const;
   void release(model::Machine& machine, const std::string& reason);
   void send_releases();
@@ -380,7 +370,6 @@
   std::uint64_t first_term_ = 0;  // the fence with which the reign began
   wire::Stamp won_;               // jobs accepted later than this no earlier leader has started
   double reign_since_ = 0;
-  double takes_reports_since_ = 0;  // without a gap
   double blind_until_ = 0;  // machines of an earlier leader may run tasks unseen: nothing starts before
   std::uint64_t tries_ = 0;
   std::uint64_t rentals_made_ = 0;
@@ -414,12 +403,10 @@
   shares::Bounds bounds_;
   wire::HostId room_cursor_;
   ReachabilityProbe reachability_probe_;
-  double heard_directly_ = 0;  // when a machine last reached us, or we it, without a sibling's help
+  MachineMonitor machine_monitor_;
   std::map<std::string, std::uint64_t> tally_;  // of what happened since the last summary in the log
   model::Stockouts stockouts_;
   std::map<std::string, Reclaims> reclaims_;
-  model::Boots boots_;
-  double boots_at_ = 0;  // steady clock: when these were counted
   Batch intents_;
   std::set<std::pair<double, std::string>> due_;  // the keys of intents_ by when they are due
   std::size_t value_bytes_ = 0;                   // that a value may take, less once one was refused
--- a/src/leader/reports.cpp
+++ b/src/leader/reports.cpp
@@ -73,7 +73,7 @@
     ++tally_["reports came again or too late"];
     return message.reply({});
   }
-  if (message.via == net::Via::worker) heard_directly_ = loop().now();
+  if (message.via == net::Via::worker) machine_monitor_.note_direct_contact();
   if (brief && !apply_brief(*machine, report, message.base, message.by)) return message.reply(in_full);
   if (!brief && !machine->fresh && report.fence.value < first_term_)
     return undated(*machine, report, message.reply);
@@ -81,7 +81,7 @@
   const bool news = brief || apply(*machine, report, &message.by);
   machine->reported = report.counter;
   machine->reported_at = loop().now();
-  note_reporting(*machine);
+  machine_monitor_.update_reporting(*machine);
   // An answer with a valid fence extends the worker's lease whatever it holds: also when a direct answer has
   // overtaken the report. Else its tasks would be started elsewhere while they still run (invariant 6).
   machine->lease.renewed(loop().now());
@@ -198,7 +198,7 @@
     machine.reclaimable = report.reclaimable;
     machine.idle_since = machine.reported_at = loop().now();
     set_size(machine);
-    if (expected && !machine.late) note_boot(true);
+    if (expected && !machine.late) machine_monitor_.count_boot(true);
     ++tally_["machines came up"];
     log_->debug("machine {}: up ({} in {}{})", machine.host.value, machine.flavor, machine.rack_room,
                 machine.reclaimable ? ", spot" : "");
@@ -215,43 +215,14 @@
   release(machine, "back without its session");
 }
 
-model::Hearing::Times Leader::hearing_times() const {
-  return {net::kWorkerWaitS, settings_.report_s, settings_.pace_s, settings_.lease_s};
-}
-
 // What this report shows of the answers before it.
 void Leader::hear(Machine& machine, const wire::Report& report, const std::string& by, bool lost_start,
                   bool ran_start) {
   const auto before = machine.hearing.state();
   machine.hearing.reported(
-      loop().now(), hearing_times(),
+      loop().now(), machine_monitor_.timing(),
       {report.counter, report.tenure, report.fence, by, lost_start, ran_start, !ports_.sibling_heard()});
-  note_hearing(machine, before);
-}
-
-void Leader::note_hearing(Machine& machine, model::Hearing::State before) {
-  using State = model::Hearing::State;
-  const auto state = machine.hearing.state();
-  if (state == before) return;
-  fleet_.refresh(machine);
-  if (state == State::asked) {
-    log_->debug("machine {}: what it was told did not arrive, asking it", machine.host.value);
-    ++tally_["machines asked whether they hear"];
-  } else if (state == State::deaf) {
-    log_->warn("machine {}: reports arrive, answers and commands do not; nothing more for it until it hears",
-               machine.host.value);
-    ++tally_["deaf machines"];
-    plan_soon();
-  } else {
-    if (before == State::deaf) {
-      log_->info("machine {}: hears again after {:.0f} s", machine.host.value,
-                 loop().now() - machine.hearing.since());
-      ++tally_["deaf machines that hear again"];
-    }
-    // It has had no chance to be of use: else it would be returned as idle this very moment.
-    if (machine.binds.empty()) machine.idle_since = loop().now();
-    place_soon();
-  }
+  machine_monitor_.downlink_changed(machine, before);
 }
 
 bool Leader::apply(Machine& machine, const wire::Report& report, const std::string* by) {
@@ -630,10 +601,10 @@
   const auto tenure = std::max<std::uint64_t>(1, machine.tenure.value);
   const wire::Json body{{"fence", fence.value}, {"tenure", tenure}, {"orders", to_json(orders)}};
   machine.last_probe = loop().now();
-  machine.hearing.asked(loop().now(), hearing_times());
+  machine.hearing.asked(loop().now(), machine_monitor_.timing());
   // A question without orders may be missed: where services wait for it, less long.
   const bool brief = !machine.confirmed || (orders.empty() && machine.service_cores > 0);
-  const double patience = brief ? kUnheardPatience * settings_.pace_s : settings_.pace_s;
+  const double patience = brief ? kUnconfirmedPatience * settings_.pace_s : settings_.pace_s;
   ports_.workers.send(machine.address, {net::Method::post, "/commands", body.dump()}, patience,
                       guard([this, host = machine.host, orders = std::move(orders),
                              asked = Asked{fence, machine.newest_heard()}, reign = first_term_,
@@ -663,17 +634,17 @@
     if (!certain) machine.doubt_at = loop().now();
   }
   const auto hearing = machine.hearing.state();
-  machine.hearing.direct(loop().now(), hearing_times(), certain);
+  machine.hearing.direct(loop().now(), machine_monitor_.timing(), certain);
   if (!certain &&
       std::any_of(orders.begin(), orders.end(), [](const Order& order) { return order.verb == Verb::start; }))
     machine.hearing.lost_order(loop().now());
-  note_hearing(machine, hearing);
+  machine_monitor_.downlink_changed(machine, hearing);
   if (!certain) {
     ++machine.probes_unanswered;
     reachability_probe_.note_suspicion();
     return;
   }
-  heard_directly_ = loop().now();
+  machine_monitor_.note_direct_contact();
   try {
     const auto report = wire::parse_report(wire::parse_object(response.body));
     if (report.host != machine.host) return;
--- a/src/model/hearing.cpp
+++ b/src/model/hearing.cpp
@@ -12,7 +12,6 @@
 constexpr double kNextTries = 1.5;     // of the wait: most reports after one have come
 constexpr double kGoesOn =
     1.1;  // of a lease: no answer before it became suspect can keep its session for so long
-constexpr double kGiveUpLeases = 2;  // its tasks are over for a lease by then
 }  // namespace
 
 void Hearing::answered(double now, std::uint64_t counter, wire::Tenure tenure, wire::Fence fence,
@@ -21,11 +20,11 @@
   last_ = {counter, tenure, fence, by, now};
 }
 
-double Hearing::pause(const Times& times, std::uint32_t times_before) const {
-  return std::min(times.pace_s * std::exp2(std::min(times_before, 16U)), times.lease_s);
+double Hearing::pause(const HeartbeatTiming& times, std::uint32_t times_before) const {
+  return std::min(times.control_interval_s * std::exp2(std::min(times_before, 16U)), times.lease_s);
 }
 
-void Hearing::reported(double now, const Times& times, const Shown& shown) {
+void Hearing::reported(double now, const HeartbeatTiming& times, const Shown& shown) {
   // Sent before the answer was given, or never answered: shows nothing.
   if (last_.counter == 0 || shown.counter <= last_.counter) return;
   const double gap = now - last_.at;
@@ -33,15 +32,15 @@
   const bool ended = shown.tenure > last_.tenure && gap < kSessionShare * times.lease_s;
   const bool lost = shown.lost_start || ended || shown.fence < last_.fence;
   // A worker that was answered stays with its controller; one that was not goes to the next.
-  const double regular = kRegular * times.report_s;
+  const double regular = kRegular * times.heartbeat_interval_s;
   const bool stayed = same_session && shown.by == last_.by && gap >= regular && !shown.alone;
   // One that hears nothing waits before it reports again, wherever it goes; and its session cannot go on.
-  const bool soon = same_session && gap < times.wait_s;
+  const bool soon = same_session && gap < times.response_wait_s;
   const bool goes_on =
       state_ != State::hears && shown.tenure == session_ && now - since_ > kGoesOn * times.lease_s;
   const bool heard = !lost && (shown.ran_start || stayed || soon || goes_on);
-  const bool left = same_session && shown.by != last_.by && gap > kNextTry * times.wait_s &&
-                    (gap < regular || regular < kNextTries * times.wait_s);
+  const bool left = same_session && shown.by != last_.by && gap > kNextTry * times.response_wait_s &&
+                    (gap < regular || regular < kNextTries * times.response_wait_s);
   if (!last_.by.empty()) {
     if (heard) heard_by_sibling_ = now;
     if (lost || left) lost_by_sibling_ = now;
@@ -69,11 +68,11 @@
   if (state_ == State::hears) suspect(now, 0);
 }
 
-void Hearing::asked(double now, const Times& times) {
+void Hearing::asked(double now, const HeartbeatTiming& times) {
   if (state_ != State::hears) next_ask_ = now + pause(times, unanswered_ + 1);
 }
 
-void Hearing::direct(double now, const Times& times, bool reached) {
+void Hearing::direct(double now, const HeartbeatTiming& times, bool reached) {
   if (state_ == State::hears) return;
   if (reached) {
     if (now >= hold_until_) state_ = State::hears;
@@ -84,7 +83,7 @@
   ++unanswered_;
 }
 
-bool Hearing::give_up(double now, const Times& times) const {
+bool Hearing::give_up(double now, const HeartbeatTiming& times) const {
   return state_ == State::deaf && now - since_ > kGiveUpLeases * times.lease_s;
 }
 
--- a/src/model/hearing.hpp
+++ b/src/model/hearing.hpp
@@ -11,18 +11,13 @@
 #include <cstdint>
 #include <string>
 
+#include "model/heartbeat_timing.hpp"
 #include "wire/ids.hpp"
 
 namespace bankhill::model {
 
 class Hearing {
  public:
-  struct Times {        // seconds
-    double wait_s = 4;  // the worker drops an answer that takes longer
-    double report_s = 3;
-    double pace_s = 3;
-    double lease_s = 40;
-  };
   // What a report that came in its turn shows.
   struct Shown {
     std::uint64_t counter = 0;
@@ -39,13 +34,13 @@
   void answered(double now, std::uint64_t counter, wire::Tenure tenure, wire::Fence fence,
                 const std::string& by);
   // A newer report came in its turn.
-  void reported(double now, const Times& times, const Shown& shown);
+  void reported(double now, const HeartbeatTiming& times, const Shown& shown);
   // A start sent directly was not answered. That may be our own link: it is asked, and no more is held
   // against it.
   void lost_order(double now);
   // A direct request was sent, answered, or not answered in time.
-  void asked(double now, const Times& times);
-  void direct(double now, const Times& times, bool reached);
+  void asked(double now, const HeartbeatTiming& times);
+  void direct(double now, const HeartbeatTiming& times, bool reached);
 
   State state() const { return state_; }
   bool takes_tasks() const { return state_ == State::hears; }
@@ -53,7 +48,7 @@
   // Asked in vain more than once: others are rented in its place.
   bool out() const { return state_ == State::deaf && unanswered_ >= kOutAfter; }
   // To be returned to the cloud.
-  bool give_up(double now, const Times& times) const;
+  bool give_up(double now, const HeartbeatTiming& times) const;
   double since() const { return since_; }  // steady clock: when it became suspect
 
   // When a report last showed that an answer of a sibling was heard, or lost: tells a leader that is not
@@ -71,7 +66,7 @@
     double at = 0;
   };
   void suspect(double now, double pause_s);
-  double pause(const Times& times, std::uint32_t times_before) const;
+  double pause(const HeartbeatTiming& times, std::uint32_t times_before) const;
 
   State state_ = State::hears;
   Answered last_;
--- a/src/model/machine.hpp
+++ b/src/model/machine.hpp
@@ -139,6 +139,11 @@
     if (lost) return {wire::Tenure{tenure.value - 1}, listed_counter};
     return {tenure, std::max(counter, reported)};
   }
+  // It could not be used and now can: an empty one has had no chance to be of use, and would else be returned
+  // as idle this very moment.
+  void restart_idle_time(double now) {
+    if (binds.empty()) idle_since = now;
+  }
   bool takes_tasks() const {
     return up && recorded && confirmed && !lost && !draining && !releasing && reporting == Reporting::comes &&
            hearing.takes_tasks();
--- a/src/model/silence.cpp
+++ b/src/model/silence.cpp
@@ -19,35 +19,38 @@
 // hears none goes on from one to the next, and a controller that names another to it shows us nothing of it:
 // a machine known for that may be silent for a whole round without being gone.
 constexpr double kNextTryS = 1;
-constexpr double kGiveUpLeases = 2;  // its tasks are over for a lease by then
 }  // namespace
 
 Silence::Limits Silence::limits(const Machine& machine) const {
-  const double latest = kLatestReport * times_.report_s;
-  const double probe = latest + kProbeAfter * times_.pace_s;
-  const double silent = latest + kSilentAfter * times_.pace_s;
-  const double lost_answer = times_.wait_s + 2 * kNextTryS;
+  const double latest = kLatestReport * times_.heartbeat_interval_s;
+  const double probe = latest + kProbeAfter * times_.control_interval_s;
+  const double silent = latest + kSilentAfter * times_.control_interval_s;
+  const double lost_answer = times_.response_wait_s + 2 * kNextTryS;
   const double walks = machine.hears ? lost_answer : std::min(round_s(), times_.lease_s);
   Limits result;
   result.quiet = probe;
   result.ask = !machine.hears    ? std::max(probe, walks)
-               : machine.watched ? std::min(probe, kServiceProbe * times_.report_s)
+               : machine.watched ? std::min(probe, kServiceProbe * times_.heartbeat_interval_s)
                                  : probe;
-  result.again = machine.watched && machine.unanswered ? kServiceAgain * times_.pace_s : times_.pace_s;
-  result.gone = std::max(walks, machine.watched ? std::min(silent, kServiceSilent * times_.pace_s) : silent);
+  result.again = machine.watched && machine.unanswered ? kServiceAgain * times_.control_interval_s
+                                                       : times_.control_interval_s;
+  result.gone = std::max(
+      walks, machine.watched ? std::min(silent, kServiceSilent * times_.control_interval_s) : silent);
   return result;
 }
 
 Reporting Silence::reporting(double unreported_s) const {
   // One lost answer is no sign of it, nor is a round of the controllers, as long as half a lease is left.
-  const double lost_answer = kLatestReport * times_.report_s + times_.wait_s + 2 * kNextTryS;
+  const double lost_answer =
+      kLatestReport * times_.heartbeat_interval_s + times_.response_wait_s + 2 * kNextTryS;
   if (unreported_s <= std::max(lost_answer, std::min(round_s(), times_.lease_s / 2))) return Reporting::comes;
   return unreported_s > times_.lease_s * kDriftAllowance + kAllowanceS ? Reporting::absent
                                                                        : Reporting::overdue;
 }
 
 double Silence::round_s() const {
-  return static_cast<double>(times_.controllers) * (times_.wait_s + kNextTryS) + times_.report_s;
+  return static_cast<double>(times_.controllers) * (times_.response_wait_s + kNextTryS) +
+         times_.heartbeat_interval_s;
 }
 
 bool Silence::give_up(double unreported_s) const {
--- a/src/model/silence.hpp
+++ b/src/model/silence.hpp
@@ -4,7 +4,7 @@
 // answered report extends its lease, so what is started there is lost with it.
 #pragma once
 
-#include <cstddef>
+#include "model/heartbeat_timing.hpp"
 
 namespace bankhill::model {
 
@@ -17,13 +17,6 @@
 
 class Silence {
  public:
-  struct Times {        // seconds
-    double wait_s = 4;  // the worker drops an answer that takes longer
-    double report_s = 3;
-    double pace_s = 3;
-    double lease_s = 40;
-    std::size_t controllers = 1;
-  };
   struct Machine {
     bool watched = false;     // holds services: they are missed at once
     bool hears = true;        // as far as is known
@@ -36,7 +29,7 @@
     double gone = 0;   // given up, if it does not answer either
   };
 
-  explicit Silence(const Times& times) : times_(times) {}
+  explicit Silence(const HeartbeatTiming& times) : times_(times) {}
   Limits limits(const Machine& machine) const;
   Reporting reporting(double unreported_s) const;
   // For so long that it is returned.
@@ -45,7 +38,7 @@
  private:
   double round_s() const;  // that a worker takes which no controller answers
 
-  Times times_;
+  HeartbeatTiming times_;
 };
 
 }  // namespace bankhill::model
--- a/tests/hearing_test.cpp
+++ b/tests/hearing_test.cpp
@@ -28,7 +28,7 @@
     return now - from;
   }
 
-  Hearing::Times times{4, 3, 3, 40};
+  HeartbeatTiming times{4, 3, 3, 40, 1};
   Hearing hearing;
   double now = 100;
   std::uint64_t counter = 0;
@@ -145,7 +145,7 @@
     EXPECT_GE(now - from, last);
     last = now - from;
   }
-  EXPECT_GE(last, 4 * times.pace_s);
+  EXPECT_GE(last, 4 * times.control_interval_s);
   report(3, "", false, true);  // a start that came with an answer: all is well again
   lose_a_start();
   hearing.direct(now, times, true);
