--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -14,12 +14,12 @@
 
 #include "calendar/outlook.hpp"
 #include "cloud/cloud.hpp"
+#include "leader/machine_monitor.hpp"
+#include "leader/reachability_probe.hpp"
 #include "leader/strangers.hpp"
-#include "model/boots.hpp"
 #include "model/cancel_budget.hpp"
 #include "model/fleet.hpp"
 #include "model/job.hpp"
-#include "model/silence.hpp"
 #include "model/stockouts.hpp"
 #include "model/waits.hpp"
 #include "net/http.hpp"
@@ -37,9 +37,6 @@
 
 namespace bankhill::leader {
 
-// Paces for the answer of a machine that this reign has not heard: it holds up others' tasks.
-constexpr double kUnheardPatience = 0.5;
-
 constexpr unsigned kTryBits = 24;  // attempts of one term; the term is above them
 inline std::uint64_t started_under(wire::TryNo try_no) { return try_no.value >> kTryBits; }
 
@@ -201,8 +198,8 @@
   bool adopt_finished(const std::string& key, const wire::Json& data);
   void ask_unconfirmed();
   void summarize();
-  void check_reach();
-  void judge_reach();
+  ReachabilityProbe::Ports reachability_ports();
+  std::vector<wire::HostId> reachability_candidates();
   void resync();
   void fetch_catalogue();
   void publish_progress();
@@ -248,8 +245,6 @@
                    const std::string& by);
   void hear(model::Machine& machine, const wire::Report& report, const std::string& by, bool lost_start,
             bool ran_start);
-  void note_hearing(model::Machine& machine, model::Hearing::State before);
-  model::Hearing::Times hearing_times() const;
   void heard(model::Machine& machine, const wire::Report& report, bool direct);
   wire::Ruling granted(std::vector<wire::Order> orders) const;
   void apply_member(model::Machine& machine, const wire::MemberReport& member);
@@ -335,12 +330,8 @@
   void settle_rentals();
   void watch_machines(double share);
   void watch(model::Machine& machine);
-  model::Silence silence() const;
-  void note_reporting(model::Machine& machine);
-  double unreported(const model::Machine& machine) const;  // seconds
-  bool many_unheard(const model::Machine& machine) const;
-  void watch_boot(model::Machine& machine);
-  void note_boot(bool in_time);
+  MachineMonitor::Ports monitor_ports();
+  void note_starts_in_doubt(const model::Machine& machine);
   double boot_s(const model::Machine& machine) const;
   void release(model::Machine& machine, const std::string& reason);
   void send_releases();
@@ -379,7 +370,6 @@
   std::uint64_t first_term_ = 0;  // the fence with which the reign began
   wire::Stamp won_;               // jobs accepted later than this no earlier leader has started
   double reign_since_ = 0;
-  double takes_reports_since_ = 0;  // without a gap
   double blind_until_ = 0;  // machines of an earlier leader may run tasks unseen: nothing starts before
   std::uint64_t tries_ = 0;
   std::uint64_t rentals_made_ = 0;
@@ -412,22 +402,11 @@
   calendar::Outlook outlook_;  // of the tenants' cutoffs
   shares::Bounds bounds_;
   wire::HostId room_cursor_;
-  std::size_t unanswered_ = 0;  // direct requests unanswered and reports relayed, in this pace
-  double heard_directly_ = 0;   // when a machine last reached us, or we it, without a sibling's help
-  std::size_t sample_out_ = 0;
-  std::size_t sample_failed_ = 0;
-  std::size_t sample_size_ = 0;
-  std::size_t sample_heard_ = 0;  // of those unanswered: hear what siblings answer
-  std::size_t sample_lost_ = 0;   // do not hear that either
-  std::size_t sample_mute_ = 0;   // do not even report
-  double sample_since_ = -1e9;    // since when samples failed without telling whose fault it is
-  double next_sample_ = 0;
-  double next_unanswered_ = 0;
+  ReachabilityProbe reachability_probe_;
+  MachineMonitor machine_monitor_;
   std::map<std::string, std::uint64_t> tally_;  // of what happened since the last summary in the log
   model::Stockouts stockouts_;
   std::map<std::string, Reclaims> reclaims_;
-  model::Boots boots_;
-  double boots_at_ = 0;  // steady clock: when these were counted
   Batch intents_;
   std::set<std::pair<double, std::string>> due_;  // the keys of intents_ by when they are due
   std::size_t value_bytes_ = 0;                   // that a value may take, less once one was refused
