--- a/src/leader/fleet.cpp
+++ b/src/leader/fleet.cpp
@@ -1,4 +1,4 @@
-// Rentals and releases: rounds (the paper's Algorithm 3), silent machines, the cloud's list.
+// What is rented and returned: rounds (the paper's Algorithm 3), silent machines.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -23,10 +23,8 @@
 constexpr double kBootLate = 1.6;  // no longer counted as coming: the protocol's usual boot takes up to 1.5
 constexpr double kBootNever = 3;   // given up
 constexpr double kMemory = 4;      // rounds after which a boot or a reclaim counts a third: a wave passes
-constexpr int kRentalsAtOnce = 8;
 const std::string kSurplus = "more than planned";
 constexpr double kLeastChargeS = 60;        // the protocol: a machine that is deleted costs at least this
-constexpr double kGoneKeptLeases = 90;      // copies of reports come for several leases after their machines
 constexpr double kMinReclaimHistory = 600;  // machine seconds below which the reclaim share is unknown
 }  // namespace
 
@@ -201,9 +199,10 @@
   }
   double there[2] = {0, 0};
   for (const auto& [pool, state] : fleet_.pools()) there[pool.reclaimable ? 1 : 0] += state.sums.cores;
-  for (const auto& [name, rental] : rentals_)
-    if (const auto* type = flavor(rental.record.flavor); type != nullptr && !rental.record.hosts)
-      there[rental.record.reclaimable ? 1 : 0] += type->size.cores * rental.record.count;
+  rental_manager_.visit_requested([&](const wire::RentalRecord& requested) {
+    if (const auto* type = flavor(requested.flavor))
+      there[requested.reclaimable ? 1 : 0] += type->size.cores * requested.count;
+  });
   double missing[2] = {wanted[0] - there[0], wanted[1] - there[1]};
   log_->debug("plan: {:.0f} steady and {:.0f} spot cores wanted, {:.0f} and {:.0f} there or coming{}",
               wanted[0], wanted[1], there[0], there[1], waiting ? ", work waits" : "");
@@ -223,8 +222,8 @@
       const auto best = std::min_element(left.begin(), left.end(),
                                          [&](std::size_t x, std::size_t y) { return cover(x) < cover(y); });
       const auto& offer = offers[*best];
-      lack -=
-          rent(offer, spot, std::ceil(lack / offer.flavor.size.cores - kRounding)) * offer.flavor.size.cores;
+      const double machines = std::ceil(lack / offer.flavor.size.cores - kRounding);
+      lack -= rental_manager_.request(offer.flavor, spot, machines) * offer.flavor.size.cores;
       left.erase(best);
     }
     // Exception to the design (its first doubt): alpha's budget that no spot type can take must not stay
@@ -256,9 +255,7 @@
     const auto type = planner::preferred(item, offers);
     if (!type || earned[*type]) continue;
     earned[*type] = true;
-    if (std::any_of(rentals_.begin(), rentals_.end(),
-                    [](const auto& entry) { return !entry.second.record.hosts; }))
-      continue;
+    if (rental_manager_.any_requested()) continue;
     // Smallest type that holds it, since one task is all that is known to need it.
     std::size_t smallest = *type;
     for (std::size_t i = 0; i < offers.size(); ++i)
@@ -267,7 +264,7 @@
           offers[i].flavor.rate < offers[smallest].flavor.rate)
         smallest = i;
     // Elsewhere none is of use to it.
-    rent(offers[smallest], false, 1, job.spec.rack_room.value_or(""));
+    rental_manager_.request(offers[smallest].flavor, false, 1, job.spec.rack_room.value_or(""));
   }
   rent_for_replicas(offers);
 }
@@ -329,148 +326,6 @@
   ++tally_["machines surplus"];
 }
 
-// Machines that may be rented before the fleet is as large as the controllers can take the reports of: a
-// fleet beyond that would not be served worse, but not at all.
-double Leader::carried_room() {
-  const auto& total = fleet_.total();
-  double there = static_cast<double>(total.up + total.coming);
-  for (const auto& [name, rental] : rentals_)
-    if (!rental.record.hosts) there += rental.record.count;
-  const double room = static_cast<double>(settings_.most_machines) - there;
-  const bool full = room < 1;
-  if (full && !at_most_machines_)
-    log_->warn("fleet: {:.0f} machines are all that these controllers' sockets can serve; renting no more",
-               there);
-  if (!full && at_most_machines_) log_->info("fleet: below what these controllers can serve again");
-  at_most_machines_ = full;
-  return std::max(0.0, room);
-}
-
-double Leader::rent(const planner::Offer& offer, bool reclaimable, double count, const std::string& zone) {
-  count = std::min(count, carried_room());
-  if (count < 1) return 0;
-  std::vector<std::string> zones;
-  for (const auto& each : offer.flavor.rack_rooms) {
-    if (!zone.empty() && each != zone) continue;
-    if (stockouts_.may_ask({offer.flavor.name, each, reclaimable}, loop().now())) zones.push_back(each);
-  }
-  if (zones.empty()) return 0;
-  if (!reclaimable && std::find(zones.begin(), zones.end(), settings_.main_zone) != zones.end()) {
-    // Services stand on steady machines. A cut between the zones, or of the smaller one, takes those that are
-    // not where the leader will be: steady machines are rented there as long as there are any.
-    zones = {settings_.main_zone};
-  } else {
-    // Evenly over the zones, beginning with the one that has the fewest.
-    std::map<std::string, double> have;
-    for (const auto& [pool, state] : fleet_.pools()) have[pool.rack_room] += state.sums.cores;
-    std::sort(zones.begin(), zones.end(),
-              [&](const std::string& a, const std::string& b) { return have[a] < have[b]; });
-  }
-  double asked = 0;
-  for (std::size_t i = 0; i < zones.size(); ++i) {
-    double share = std::ceil((count - asked) / static_cast<double>(zones.size() - i));
-    // The cloud gives so many a request, and so many requests at a time are enough to see whether it has
-    // them. One that had none is asked once, to see whether it has some again: eight refusals for each of its
-    // types used up the cloud's requests, and hid from the plan that others must be rented.
-    const bool doubtful = stockouts_.doubtful({offer.flavor.name, zones[i], reclaimable});
-    for (int request = 0; request < (doubtful ? 1 : kRentalsAtOnce) && share >= 1; ++request) {
-      const std::string name = rental_prefix() + std::to_string(++rentals_made_);
-      auto& rental = rentals_[name];
-      rental.record = {
-          offer.flavor.name, zones[i],
-          reclaimable,       static_cast<std::uint32_t>(std::min<double>(share, cloud::kMaxRental)),
-          loop().wall(),     std::nullopt};
-      asked += rental.record.count;
-      share -= rental.record.count;
-      log_->info("rental {}: {} x {} in {}{}", name, rental.record.count, offer.flavor.name, zones[i],
-                 reclaimable ? ", spot" : "");
-      rental.asking = true;
-      // Invariant 3: stored before it is requested.
-      store(wire::rental_key(name), to_json(rental.record), Patience::none, [this, name] { ask(name); });
-    }
-  }
-  return asked;
-}
-
-// Of the names of this reign's rentals.
-std::string Leader::rental_prefix() const { return "r-" + std::to_string(first_term_) + "-"; }
-
-void Leader::ask(const std::string& name) {
-  const auto found = rentals_.find(name);
-  if (found == rentals_.end() || !valid()) {
-    if (found != rentals_.end()) found->second.asking = false;
-    return;
-  }
-  found->second.asking = true;
-  ports_.cloud.tell(cloud::Rent{name, found->second.record,
-                                guard([this, name, reign = first_term_](const cloud::Rented& result) {
-                                  if (reigning_ && reign == first_term_) rented(name, result);
-                                })});
-}
-
-void Leader::rented(const std::string& name, const cloud::Rented& result) {
-  const auto found = rentals_.find(name);
-  if (found == rentals_.end()) return;
-  auto& rental = found->second;
-  rental.asking = false;
-  rental.retry_at = loop().now() + settings_.pace_s / 2;
-  if (result.kind == cloud::Rented::Kind::trouble) return;
-  const Pool pool{rental.record.flavor, rental.record.rack_room, rental.record.reclaimable};
-  if (result.kind == cloud::Rented::Kind::no_capacity || result.hosts.size() < rental.record.count) {
-    stockouts_.note(pool, loop().now(), settings_.round_s);
-    log_->info("rental {}: {} of {} to be had", name, result.hosts.size(), rental.record.count);
-    plan_soon();
-  } else {
-    stockouts_.over(pool);
-  }
-  if (result.hosts.empty()) {
-    rentals_.erase(found);
-    store(wire::rental_key(name), std::nullopt, Patience::tidying);
-    return;
-  }
-  rental.record.hosts.emplace();
-  for (const auto& host : result.hosts) rental.record.hosts->push_back(host.value);
-  store(wire::rental_key(name), to_json(rental.record), Patience::machines);
-  // At once: until its machines are known the rental counts neither as asked for nor as there, and a plan
-  // made in between rented all of them once more.
-  settle_rentals();
-}
-
-void Leader::settle_rentals() {
-  const double now = loop().now();
-  std::vector<std::string> over;
-  for (auto& [name, rental] : rentals_) {
-    if (!rental.record.hosts) {
-      // A new leader repeats open rentals to learn their hosts.
-      if (!rental.asking && now >= rental.retry_at && valid()) ask(name);
-      continue;
-    }
-    bool pending = false;
-    const bool ours = name.starts_with(rental_prefix());
-    for (const auto& text : *rental.record.hosts) {
-      const wire::HostId host{text};
-      if (gone_.contains(host)) continue;
-      const auto [entry, added] = fleet_.add(host);
-      auto& machine = *entry;
-      if (added) {
-        machine.flavor = rental.record.flavor;
-        machine.rack_room = rental.record.rack_room;
-        machine.reclaimable = rental.record.reclaimable;
-        machine.first_seen = now;
-        set_size(machine);
-        fleet_.refresh(machine);
-      }
-      machine.fresh = machine.fresh || ours;
-      if (!machine.recorded) pending = true;
-    }
-    if (!pending) over.push_back(name);
-  }
-  for (const auto& name : over) {
-    rentals_.erase(name);
-    store(wire::rental_key(name), std::nullopt, Patience::tidying);
-  }
-}
-
 void Leader::watch_machines(double share) {
   const double now = loop().now();
   doubtful_ = false;
@@ -612,82 +467,46 @@
   return unheard >= 2 && static_cast<double>(unheard) > kMassShare * static_cast<double>(zone.up);
 }
 
-void Leader::release(Machine& machine, const std::string& reason) {
-  if (std::exchange(machine.releasing, true)) return;
-  log_->debug("machine {}: releasing it, {} ({} tasks bound)", machine.host.value, reason,
-              machine.binds.size());
-  ++tally_["machines released (" + reason + ")"];
-  replicas_fail(machine);
-  to_release_.insert(machine.host);
-  fleet_.refresh(machine);
-  loop().post(guard([this] { send_releases(); }));
-}
-
-void Leader::send_releases() {
-  if (releasing_ || !valid()) return;
-  std::vector<wire::HostId> hosts;
-  for (const auto& host : to_release_)
-    if (hosts.size() < cloud::kMaxRelease) hosts.push_back(host);
-  if (hosts.empty()) return;
-  releasing_ = true;
-  ports_.cloud.tell(cloud::Release{hosts, guard([this, hosts, reign = first_term_](bool done) {
-                                     if (!reigning_ || reign != first_term_) return;
-                                     releasing_ = false;
-                                     if (!done) return;  // the tick tries again
-                                     for (const auto& host : hosts) gone(host);
-                                   })});
+RentalManager::Settings Leader::rental_settings() const {
+  return {settings_.pace_s,     settings_.round_s,       settings_.lease_s,
+          settings_.list_lag_s, settings_.most_machines, settings_.main_zone};
 }
 
-void Leader::gone(const wire::HostId& host) {
-  const double now = loop().now();
-  to_release_.erase(host);
-  surplus_.erase(host);
-  for (; !gone_order_.empty() && now - gone_order_.front().first > kGoneKeptLeases * settings_.lease_s;
-       gone_order_.pop_front())
-    gone_.erase(gone_order_.front().second);
-  if (gone_.emplace(host, now).second) gone_order_.emplace_back(now, host);
-  auto* machine = fleet_.find(host);
+RentalManager::Ports Leader::rental_ports() {
+  RentalManager::Ports ports;
+  ports.may_act = [this] { return valid(); };
+  ports.send_to_cloud = [this](cloud::Cloud::Message message) { ports_.cloud.tell(std::move(message)); };
+  ports.machine_type = [this](const std::string& name) { return flavor(name); };
+  ports.store_request = [this](const std::string& name, const wire::RentalRecord& record, Then stored) {
+    store(wire::rental_key(name), to_json(record), Patience::none, std::move(stored));
+  };
+  ports.store_machines = [this](const std::string& name, const wire::RentalRecord& record) {
+    store(wire::rental_key(name), to_json(record), Patience::machines);
+  };
+  ports.remove_record = [this](const std::string& name) {
+    store(wire::rental_key(name), std::nullopt, Patience::tidying);
+  };
+  ports.terminating = [this](const Machine& machine) { replicas_fail(machine); };
+  ports.terminated = [this](const wire::HostId& machine_id) { forget_machine(machine_id); };
+  ports.plan_soon = [this] { plan_soon(); };
+  ports.count_event = [this](const std::string& event) { ++tally_[event]; };
+  return ports;
+}
+
+// It is gone, and so is all that ran there.
+void Leader::forget_machine(const wire::HostId& machine_id) {
+  surplus_.erase(machine_id);
+  auto* machine = fleet_.find(machine_id);
   if (machine == nullptr) return;
-  std::vector<wire::MemberId> members;
-  for (const auto& [member, bind] : machine->binds) members.push_back(member);
-  for (const auto& member : members) unbind(*machine, member);
+  std::vector<wire::MemberId> tasks;
+  for (const auto& [task, assignment] : machine->binds) tasks.push_back(task);
+  for (const auto& task : tasks) unbind(*machine, task);
   forget_record(*machine);
-  fleet_.erase(host);
+  fleet_.erase(machine_id);
   place_soon();
   plan_soon();
 }
 
-void Leader::list_hosts() {
-  // A page costs a request: a large fleet is listed less often.
-  const double pages = 1 + std::floor(static_cast<double>(fleet_.size()) / cloud::kPage);
-  next_list_ = loop().now() + std::max(settings_.list_lag_s, settings_.pace_s) * pages;
-  if (std::exchange(listing_, true)) return;
-  ports_.cloud.tell(
-      cloud::ListHosts{guard([this, reign = first_term_](std::optional<std::vector<wire::ListedHost>> hosts) {
-        if (!reigning_ || reign != first_term_) return;
-        listing_ = false;
-        if (!hosts || !valid()) return;
-        const double now = loop().now();
-        for (const auto& listed : *hosts) {
-          if (gone_.contains(listed.uid)) continue;
-          const auto [entry, added] = fleet_.add(listed.uid);
-          auto& machine = *entry;
-          if (added) {
-            // Rented by a request that came late, or at the start: used or returned like any other.
-            log_->debug("machine {}: listed but unexpected, adding it", listed.uid.value);
-            ++tally_["unexpected machines"];
-            machine.flavor = listed.flavor;
-            machine.rack_room = listed.rack_room;
-            machine.reclaimable = listed.reclaimable;
-            machine.first_seen = now - listed.held_s;
-            set_size(machine);
-            fleet_.refresh(machine);
-          }
-          if (listed.phase == "failed") release(machine, "failed by the cloud's list");
-        }
-      })});
-}
-
 // An idle machine is worth keeping for about as long as another takes to boot, the less the dearer it is.
 double Leader::idle_limit(const Machine& machine) const {
   const auto* type = flavor(machine.flavor);
--- a/src/leader/intents.cpp
+++ b/src/leader/intents.cpp
@@ -96,8 +96,8 @@
 void Leader::drop_stray(const std::string& key) {
   const auto rest = [&key](const std::string& prefix) { return key.substr(prefix.size()); };
   bool stray = false;
-  if (key.starts_with(wire::kRentals + rental_prefix()))
-    stray = !rentals_.contains(rest(wire::kRentals));
+  if (key.starts_with(wire::kRentals + rental_manager_.name_prefix()))
+    stray = !rental_manager_.knows(rest(wire::kRentals));
   else if (key.starts_with(wire::kMachines + std::to_string(first_term_) + "-"))
     stray = !groups_.contains(rest(wire::kMachines));
   else if (key.starts_with(wire::kFinished))
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -15,8 +15,7 @@
 constexpr double kSyncS = 1.0;
 constexpr double kListenS = 2.5 * kSyncS;  // for a read barrier after the lease was renewed late
 constexpr double kProgressS = 1.0;
-constexpr double kWatchS = 1.0;  // in which the watch goes round the fleet once
-constexpr double kSettleS = 1.0;
+constexpr double kWatchS = 1.0;         // in which the watch goes round the fleet once
 constexpr double kCatalogueRounds = 4;  // the catalogue is read again every so many rounds
 constexpr std::size_t kSample = 48;     // machines asked to see how far the leader reaches
 constexpr std::size_t kSampleLeast = 4;
@@ -50,6 +49,7 @@
       settings_(std::move(settings)),
       ports_(std::move(ports)),
       reader_(loop, ports_.store),
+      rental_manager_(loop, log_, rental_settings(), fleet_, rental_ports()),
       strangers_(settings_.pace_s, settings_.lease_s, kStrangers),
       queue_(queue_settings(), queue_facts()),
       replicas_({settings_.gang_wait_s, settings_.gang_peer_s, settings_.gang_wait_s}),
@@ -147,10 +147,10 @@
   reigning_ = true;
   const double now = loop().now();
   reign_since_ = now;
-  next_round_ = next_list_ = next_catalogue_ = next_sync_ = next_progress_ = next_settle_ = next_summary_ =
-      now;
-  tries_ = rentals_made_ = 0;
+  next_round_ = next_catalogue_ = next_sync_ = next_progress_ = next_summary_ = now;
+  tries_ = 0;
   forget_reign();
+  rental_manager_.begin_term(first_term_);
   blind_until_ = 0;
   for (auto& [id, job] : live_) lead_job(*job);
   to_cancel_.clear();
@@ -159,9 +159,9 @@
   adopt_records();
   adopt_bounds();
   tidy_waits();
-  settle_rentals();
+  rental_manager_.reconcile_rentals();
   log_->info("leader: begin reign, term {}, {} live jobs, {} machines, {} rentals", term_, live_.size(),
-             fleet_.size(), rentals_.size());
+             fleet_.size(), rental_manager_.size());
   ask_unconfirmed();
   plan_soon();
 }
@@ -175,7 +175,7 @@
 
 void Leader::forget_reign() {
   fleet_.clear();
-  rentals_.clear();
+  rental_manager_.end_term();
   intents_.clear();
   due_.clear();
   usage_.clear();
@@ -185,7 +185,6 @@
   buckets_.clear();
   open_buckets_.clear();
   strangers_.clear();
-  to_release_.clear();
   surplus_.clear();
   spare_cores_ = 0;
   service_cores_ = 0;
@@ -200,7 +199,7 @@
   unanswered_ = sample_out_ = 0;
   sample_since_ = -1e9;
   records_made_ = 0;
-  committing_ = raising_ = listing_ = releasing_ = false;
+  committing_ = raising_ = false;
 }
 
 // What earlier leaders stored: machines, rentals and finished tasks.
@@ -254,7 +253,7 @@
     } else if (has_prefix(key, wire::kRentals)) {
       auto record =
           ports_.store.parsed(key, entry.stamp, [&entry] { return wire::parse_rental_record(entry.data); });
-      if (record) rentals_[key.substr(wire::kRentals.size())].record = std::move(*record);
+      if (record) rental_manager_.adopt(key.substr(wire::kRentals.size()), std::move(*record));
     } else if (has_prefix(key, wire::kFinished)) {
       // Tasks whose completion cannot be read are run once more.
       ports_.store.parsed(key, entry.stamp, [this, &key, &entry] { return adopt_finished(key, entry.data); });
@@ -485,11 +484,7 @@
   age_reclaims(passed);
   if (now >= next_catalogue_) fetch_catalogue();
   watch_machines(std::min(1.0, passed / kWatchS));
-  if (now >= next_settle_) {
-    next_settle_ = now + kSettleS;
-    settle_rentals();
-  }
-  if (now >= next_list_) list_hosts();
+  rental_manager_.reconcile_if_due();
   if (now >= next_round_) {
     next_round_ = now + settings_.round_s;
     write_bounds(true);
@@ -504,7 +499,7 @@
   if (now >= next_summary_) summarize();
   check_reach();
   write_cancelled();
-  send_releases();
+  rental_manager_.send_terminations();
   flush();
 }
 
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -14,13 +14,13 @@
 
 #include "calendar/outlook.hpp"
 #include "cloud/cloud.hpp"
+#include "leader/rental_manager.hpp"
 #include "leader/strangers.hpp"
 #include "model/boots.hpp"
 #include "model/cancel_budget.hpp"
 #include "model/fleet.hpp"
 #include "model/job.hpp"
 #include "model/silence.hpp"
-#include "model/stockouts.hpp"
 #include "model/waits.hpp"
 #include "net/http.hpp"
 #include "net/reports.hpp"
@@ -159,11 +159,6 @@
     bool own = false;   // one with room was passed over for a reason that is this task's own
     bool kept = false;  // one was that is kept for another, which only shorter tasks may use
   };
-  struct Rental {
-    wire::RentalRecord record;
-    bool asking = false;
-    double retry_at = 0;
-  };
   struct Reclaims {
     double count = 0;
     double machine_s = 0;
@@ -322,17 +317,14 @@
   calendar::Outlook::Supply supply(const std::string& owner) const;
   double longest_boot_s() const;
   void top_up(const planner::Plan& plan, const std::vector<planner::Offer>& offers, bool waiting);
-  double rent(const planner::Offer& offer, bool reclaimable, double count, const std::string& zone = "");
-  double carried_room();
   void spare_steady(double missing);
   void recall_surplus(double& missing);
   void spare(model::Machine& machine);
   void drain(model::Machine& machine, const std::string& reason);
   bool use_again(model::Machine& machine, const std::string& reason);
-  std::string rental_prefix() const;
-  void ask(const std::string& name);
-  void rented(const std::string& name, const cloud::Rented& result);
-  void settle_rentals();
+  RentalManager::Settings rental_settings() const;
+  RentalManager::Ports rental_ports();
+  void forget_machine(const wire::HostId& machine_id);
   void watch_machines(double share);
   void watch(model::Machine& machine);
   model::Silence silence() const;
@@ -342,10 +334,9 @@
   void watch_boot(model::Machine& machine);
   void note_boot(bool in_time);
   double boot_s(const model::Machine& machine) const;
-  void release(model::Machine& machine, const std::string& reason);
-  void send_releases();
-  void gone(const wire::HostId& host);
-  void list_hosts();
+  void release(model::Machine& machine, const std::string& reason) {
+    rental_manager_.terminate(machine, reason);
+  }
   bool return_idle(model::Machine& machine);
   double idle_limit(const model::Machine& machine) const;
   bool reclaim_share_allows(const std::string& flavor) const;
@@ -382,15 +373,11 @@
   double takes_reports_since_ = 0;  // without a gap
   double blind_until_ = 0;  // machines of an earlier leader may run tasks unseen: nothing starts before
   std::uint64_t tries_ = 0;
-  std::uint64_t rentals_made_ = 0;
   std::map<std::string, Usage> usage_;
   std::array<double, 4> cores_by_rank_{};  // of tasks bound
   model::Fleet fleet_;
-  std::map<std::string, Rental> rentals_;
-  std::map<wire::HostId, double> gone_;
-  std::deque<std::pair<double, wire::HostId>> gone_order_;
+  RentalManager rental_manager_;
   Strangers strangers_;
-  std::set<wire::HostId> to_release_;
   std::set<wire::HostId> surplus_;  // steady machines that take no more batches
   double spare_cores_ = 0;          // of steady machines beyond the plan
   double reserve_cores_ = 0;        // of steady machines: kept free of batches for services to come
@@ -424,7 +411,6 @@
   double next_sample_ = 0;
   double next_unanswered_ = 0;
   std::map<std::string, std::uint64_t> tally_;  // of what happened since the last summary in the log
-  model::Stockouts stockouts_;
   std::map<std::string, Reclaims> reclaims_;
   model::Boots boots_;
   double boots_at_ = 0;  // steady clock: when these were counted
@@ -438,16 +424,11 @@
   bool raising_ = false;
   bool doubtful_ = false;
   double raised_at_ = 0;
-  bool listing_ = false;
-  bool releasing_ = false;
-  bool at_most_machines_ = false;
   double next_round_ = 0;
-  double next_list_ = 0;
   double next_catalogue_ = 0;
   double next_sync_ = 0;
   double next_progress_ = 0;
   double next_summary_ = 0;
-  double next_settle_ = 0;
   double last_tick_ = 0;
   double last_plan_ = -1e9;
   bool place_scheduled_ = false;
--- a/src/leader/replicas.cpp
+++ b/src/leader/replicas.cpp
@@ -153,9 +153,7 @@
 // Machines in one zone for a replica that waits, when none are coming that it could use.
 void Leader::rent_for_replicas(const std::vector<planner::Offer>& offers) {
   if (!replicas_.any()) return;
-  if (std::any_of(rentals_.begin(), rentals_.end(),
-                  [](const auto& entry) { return !entry.second.record.hosts; }))
-    return;
+  if (rental_manager_.any_requested()) return;
   for (const auto& [id, lack] : replicas_.lacks(loop().now())) {
     const auto found = live_.find(id);
     if (found == live_.end()) continue;
@@ -175,7 +173,9 @@
     item.rack_room = lack.zone.empty() ? job.spec.rack_room : lack.zone;
     const auto type = planner::preferred(item, offers);
     // Where the zone has none, any that it may have: the next search finds the zone with most.
-    if (type && rent(offers[*type], false, static_cast<double>(lack.machines), lack.zone) > 0) return;
+    if (type && rental_manager_.request(offers[*type].flavor, false, static_cast<double>(lack.machines),
+                                        lack.zone) > 0)
+      return;
     item.rack_room = job.spec.rack_room;
     item.tasks = replicas_.board().span(id);
     for (const auto& offer : offers) {
@@ -184,7 +184,7 @@
         continue;
       for (const auto& zone : offer.flavor.rack_rooms) {
         if (zone == lack.zone || (item.rack_room && zone != *item.rack_room)) continue;
-        if (rent(offer, false, item.tasks, zone) > 0) return;
+        if (rental_manager_.request(offer.flavor, false, item.tasks, zone) > 0) return;
       }
     }
   }
--- a/src/leader/reports.cpp
+++ b/src/leader/reports.cpp
@@ -138,9 +138,9 @@
 }
 
 void Leader::welcome(const wire::Report& report) {
-  if (gone_.contains(report.host)) {
+  if (rental_manager_.recently_terminated(report.host)) {
     log_->warn("machine {}: released and still there, releasing it again", report.host.value);
-    to_release_.insert(report.host);
+    rental_manager_.terminate_again(report.host);
     return;
   }
   const auto [machine, added] = fleet_.add(report.host);
--- /dev/null
+++ b/tests/rental_manager_test.cpp
@@ -0,0 +1,512 @@
+// Renting and terminating machines, without a leader, a state service or a cloud.
+#include "leader/rental_manager.hpp"
+
+#include <gtest/gtest.h>
+#include <spdlog/sinks/null_sink.h>
+
+#include "manual_loop.hpp"
+
+namespace bankhill::leader {
+namespace {
+
+using Kind = cloud::Rented::Kind;
+
+struct RecordedRequest {
+  std::string name;
+  wire::RentalRecord record;
+  std::function<void()> stored;
+};
+
+struct RecordedMachines {
+  std::string name;
+  wire::RentalRecord record;
+};
+
+class RentalManagerTest : public testing::Test {
+ protected:
+  RentalManagerTest() { restart(); }
+
+  // Another controller, which leads next.
+  void restart(std::uint64_t term = 7) {
+    manager.reset();
+    fleet.clear();
+    manager.emplace(loop, log, settings, fleet, ports());
+    manager->begin_term(term);
+  }
+
+  RentalManager::Ports ports() {
+    RentalManager::Ports result;
+    result.may_act = [this] { return may_act; };
+    result.send_to_cloud = [this](cloud::Cloud::Message message) {
+      if (auto* rent = std::get_if<cloud::Rent>(&message)) rent_requests.push_back(std::move(*rent));
+      if (auto* release = std::get_if<cloud::Release>(&message)) terminations.push_back(std::move(*release));
+      if (auto* list = std::get_if<cloud::ListHosts>(&message)) list_requests.push_back(std::move(*list));
+    };
+    result.machine_type = [this](const std::string& name) { return name == type.name ? &type : nullptr; };
+    result.store_request = [this](const std::string& name, const wire::RentalRecord& record,
+                                  std::function<void()> stored) {
+      recorded_requests.push_back({name, record, std::move(stored)});
+    };
+    result.store_machines = [this](const std::string& name, const wire::RentalRecord& record) {
+      recorded_machines.push_back({name, record});
+    };
+    result.remove_record = [this](const std::string& name) { removed_records.push_back(name); };
+    result.terminating = [this](const model::Machine& machine) { terminating.push_back(machine.host); };
+    result.terminated = [this](const wire::HostId& machine_id) {
+      terminated.push_back(machine_id);
+      if (fleet.find(machine_id) != nullptr) fleet.erase(machine_id);
+    };
+    result.plan_soon = [this] { ++plans_wanted; };
+    result.count_event = [this](const std::string& event) { ++events[event]; };
+    return result;
+  }
+
+  static std::vector<wire::HostId> machine_ids(int count, int first = 0) {
+    std::vector<wire::HostId> result;
+    for (int i = first; i < first + count; ++i) result.push_back({"n-" + std::to_string(1000 + i)});
+    return result;
+  }
+
+  // Requests machines and lets the record be committed.
+  void request(double count, bool preemptible = false, const std::string& zone = "a") {
+    manager->request(type, preemptible, count, zone);
+    for (std::size_t i = committed; i < recorded_requests.size(); ++i) recorded_requests[i].stored();
+    committed = recorded_requests.size();
+  }
+
+  void add_machines(int count, int first = 0) {
+    for (const auto& machine_id : machine_ids(count, first)) {
+      auto* machine = fleet.add(machine_id).first;
+      machine->flavor = type.name;
+      machine->rack_room = "a";
+      machine->size = type.size;
+      machine->up = machine->recorded = machine->confirmed = true;
+      fleet.refresh(*machine);
+    }
+  }
+
+  void terminate(const wire::HostId& machine_id) {
+    manager->terminate(*fleet.find(machine_id), "idle");
+    loop.run_posted();
+  }
+
+  static wire::Flavor make_type() {
+    wire::Flavor result;
+    result.name = "large";
+    result.size = {16, 0, 64};
+    result.rack_rooms = {"a", "b", "c"};
+    return result;
+  }
+
+  ManualLoop loop;
+  runtime::Log log =
+      std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::null_sink_mt>());
+  RentalManager::Settings settings{3, 16, 40, 5, 1000, ""};
+  wire::Flavor type = make_type();
+  bool may_act = true;
+  model::Fleet fleet;
+
+  std::vector<RecordedRequest> recorded_requests;
+  std::size_t committed = 0;  // of them
+  std::vector<RecordedMachines> recorded_machines;
+  std::vector<std::string> removed_records;
+  std::vector<cloud::Rent> rent_requests;
+  std::vector<cloud::Release> terminations;
+  std::vector<cloud::ListHosts> list_requests;
+  std::vector<wire::HostId> terminating;
+  std::vector<wire::HostId> terminated;
+  std::map<std::string, int> events;
+  int plans_wanted = 0;
+  std::optional<RentalManager> manager;
+};
+
+TEST_F(RentalManagerTest, RecordsARentalBeforeItIsRequested) {
+  EXPECT_EQ(manager->request(type, true, 3, "b"), 3);
+  ASSERT_EQ(recorded_requests.size(), 1U);
+  EXPECT_EQ(recorded_requests[0].name, "r-7-1");
+  const auto& record = recorded_requests[0].record;
+  EXPECT_EQ(record.flavor, "large");
+  EXPECT_EQ(record.rack_room, "b");
+  EXPECT_TRUE(record.reclaimable);
+  EXPECT_EQ(record.count, 3U);
+  EXPECT_EQ(record.asked_at, loop.wall());
+  EXPECT_FALSE(record.hosts);
+  EXPECT_TRUE(manager->any_requested());
+
+  // Neither at once nor later, as long as the record is not committed.
+  loop.advance(60);
+  manager->reconcile_if_due();
+  EXPECT_TRUE(rent_requests.empty());
+
+  recorded_requests[0].stored();
+  ASSERT_EQ(rent_requests.size(), 1U);
+  EXPECT_EQ(rent_requests[0].name, "r-7-1");
+  EXPECT_EQ(rent_requests[0].rental.count, 3U);
+}
+
+TEST_F(RentalManagerTest, RequestsNothingWhileItMayNotAct) {
+  may_act = false;
+  request(2);
+  manager->reconcile_rentals();
+  EXPECT_TRUE(rent_requests.empty());
+  may_act = true;
+  manager->reconcile_rentals();
+  ASSERT_EQ(rent_requests.size(), 1U);
+  EXPECT_EQ(rent_requests[0].name, "r-7-1");
+}
+
+TEST_F(RentalManagerTest, AddsTheMachinesAndClosesTheRentalOnceEachHasItsRecord) {
+  request(2);
+  rent_requests[0].done({Kind::hosts, machine_ids(2)});
+  ASSERT_EQ(recorded_machines.size(), 1U);
+  EXPECT_EQ(recorded_machines[0].name, "r-7-1");
+  EXPECT_EQ(recorded_machines[0].record.hosts, (std::vector<std::string>{"n-1000", "n-1001"}));
+  EXPECT_FALSE(manager->any_requested());
+  ASSERT_EQ(fleet.size(), 2U);
+  auto& machine = *fleet.find({"n-1000"});
+  EXPECT_EQ(machine.flavor, "large");
+  EXPECT_EQ(machine.rack_room, "a");
+  EXPECT_EQ(machine.size.cores, 16);
+  EXPECT_EQ(machine.first_seen, loop.now());
+  EXPECT_TRUE(machine.fresh);
+
+  machine.recorded = true;
+  manager->reconcile_rentals();
+  EXPECT_TRUE(removed_records.empty());
+  fleet.find({"n-1001"})->recorded = true;
+  manager->reconcile_rentals();
+  EXPECT_EQ(removed_records, std::vector<std::string>{"r-7-1"});
+  EXPECT_EQ(manager->size(), 0U);
+}
+
+TEST_F(RentalManagerTest, ANewLeaderRepeatsAnOpenRentalUnderTheSameName) {
+  request(4);
+  const auto recorded = recorded_requests[0];
+  rent_requests.clear();
+  recorded_requests.clear();
+
+  restart(9);
+  manager->adopt(recorded.name, recorded.record);
+  manager->reconcile_rentals();
+  ASSERT_EQ(rent_requests.size(), 1U);
+  EXPECT_EQ(rent_requests[0].name, "r-7-1");
+  EXPECT_EQ(rent_requests[0].rental.count, 4U);
+  EXPECT_TRUE(recorded_requests.empty());
+
+  // Only once, as long as it is not answered.
+  loop.advance(60);
+  manager->reconcile_rentals();
+  EXPECT_EQ(rent_requests.size(), 1U);
+  rent_requests[0].done({Kind::hosts, machine_ids(4)});
+  EXPECT_EQ(fleet.size(), 4U);
+  EXPECT_FALSE(fleet.find({"n-1000"})->fresh);  // an earlier leader may have used it
+
+  // Its own rentals have other names.
+  EXPECT_EQ(manager->name_prefix(), "r-9-");
+  manager->request(type, false, 1, "a");
+  EXPECT_EQ(recorded_requests.back().name, "r-9-1");
+}
+
+TEST_F(RentalManagerTest, ANewLeaderTakesOverTheMachinesOfARental) {
+  restart(9);
+  wire::RentalRecord record{"large", "b", true, 2, 50, std::vector<std::string>{"n-1", "n-2"}};
+  manager->adopt("r-7-3", record);
+  manager->reconcile_rentals();
+  EXPECT_TRUE(rent_requests.empty());
+  ASSERT_EQ(fleet.size(), 2U);
+  EXPECT_TRUE(fleet.find({"n-2"})->reclaimable);
+  EXPECT_FALSE(fleet.find({"n-2"})->fresh);
+}
+
+TEST_F(RentalManagerTest, TakesWhatThereIsAndDoesNotAskAgainForAWhile) {
+  request(5);
+  rent_requests[0].done({Kind::hosts, machine_ids(2)});
+  EXPECT_EQ(fleet.size(), 2U);
+  ASSERT_EQ(recorded_machines.size(), 1U);
+  EXPECT_EQ(recorded_machines[0].record.hosts->size(), 2U);
+  EXPECT_EQ(plans_wanted, 1);
+
+  // The pause is half a round, for this zone alone.
+  EXPECT_EQ(manager->request(type, false, 3, "a"), 0);
+  EXPECT_EQ(manager->request(type, false, 3, "b"), 3);
+  loop.advance(settings.round_s / 2 - 0.1);
+  EXPECT_EQ(manager->request(type, false, 3, "a"), 0);
+  loop.advance(0.1);
+  // One request shows whether there are some again; without doubt several go out.
+  EXPECT_EQ(manager->request(type, false, 120, "a"), cloud::kMaxRental);
+  EXPECT_EQ(manager->request(type, false, 120, "c"), 120);
+}
+
+TEST_F(RentalManagerTest, ClosesARentalThatBringsNoMachine) {
+  request(5);
+  rent_requests[0].done({Kind::no_capacity, {}});
+  EXPECT_EQ(removed_records, std::vector<std::string>{"r-7-1"});
+  EXPECT_EQ(manager->size(), 0U);
+  EXPECT_EQ(plans_wanted, 1);
+  EXPECT_EQ(fleet.size(), 0U);
+  EXPECT_EQ(manager->request(type, false, 5, "a"), 0);
+}
+
+TEST_F(RentalManagerTest, CapacityThatIsBackEndsThePause) {
+  request(5);
+  rent_requests[0].done({Kind::no_capacity, {}});
+  loop.advance(settings.round_s / 2);
+  request(5);
+  rent_requests[1].done({Kind::hosts, machine_ids(5)});
+  EXPECT_EQ(manager->request(type, false, 120, "a"), 120);
+}
+
+TEST_F(RentalManagerTest, RetriesUnderTheSameNameWhenTheCloudFails) {
+  request(2);
+  rent_requests[0].done({Kind::trouble, {}});
+  EXPECT_TRUE(removed_records.empty());
+  EXPECT_EQ(plans_wanted, 0);
+  loop.advance(settings.control_interval_s / 2 - 0.1);
+  manager->reconcile_rentals();
+  EXPECT_EQ(rent_requests.size(), 1U);
+  loop.advance(0.1);
+  manager->reconcile_rentals();
+  ASSERT_EQ(rent_requests.size(), 2U);
+  EXPECT_EQ(rent_requests[1].name, rent_requests[0].name);
+  EXPECT_EQ(recorded_requests.size(), 1U);
+}
+
+TEST_F(RentalManagerTest, AnswersOfAnEarlierTermChangeNothing) {
+  request(2);
+  add_machines(1, 500);
+  terminate({"n-1500"});
+  manager->reconcile_if_due();
+  ASSERT_EQ(list_requests.size(), 1U);
+  manager->end_term();
+  manager->begin_term(8);
+  rent_requests[0].done({Kind::hosts, machine_ids(2)});
+  terminations[0].done(true);
+  wire::ListedHost listed;
+  listed.uid = {"n-9"};
+  list_requests[0].done(std::vector<wire::ListedHost>{listed});
+  EXPECT_EQ(fleet.size(), 1U);
+  EXPECT_TRUE(recorded_machines.empty());
+  EXPECT_TRUE(terminated.empty());
+  EXPECT_FALSE(manager->recently_terminated({"n-1500"}));
+}
+
+TEST_F(RentalManagerTest, AnswersAfterItsEndAreIgnored) {
+  request(2);
+  add_machines(1, 500);
+  manager->terminate(*fleet.find({"n-1500"}), "idle");
+  manager.reset();
+  loop.run_posted();
+  rent_requests[0].done({Kind::hosts, machine_ids(2)});
+  EXPECT_TRUE(terminations.empty());
+  EXPECT_EQ(fleet.size(), 1U);
+}
+
+TEST_F(RentalManagerTest, DividesALargeRequest) {
+  EXPECT_EQ(manager->request(type, false, 130, "a"), 130);
+  ASSERT_EQ(recorded_requests.size(), 3U);
+  EXPECT_EQ(recorded_requests[0].record.count, cloud::kMaxRental);
+  EXPECT_EQ(recorded_requests[1].record.count, cloud::kMaxRental);
+  EXPECT_EQ(recorded_requests[2].record.count, 30U);
+  double requested = 0;
+  manager->visit_requested([&](const wire::RentalRecord& record) { requested += record.count; });
+  EXPECT_EQ(requested, 130);
+  // No more than eight at a time for one zone.
+  EXPECT_EQ(manager->request(type, false, 800, "b"), 8 * cloud::kMaxRental);
+}
+
+TEST_F(RentalManagerTest, RentsEvenlyOverTheZonesBeginningWithTheOneThatHasFewest) {
+  add_machines(2);
+  EXPECT_EQ(manager->request(type, true, 4), 4);
+  std::map<std::string, std::uint32_t> by_zone;
+  for (const auto& request : recorded_requests) by_zone[request.record.rack_room] += request.record.count;
+  EXPECT_EQ(recorded_requests[0].record.rack_room, "b");
+  EXPECT_EQ(by_zone, (std::map<std::string, std::uint32_t>{{"a", 1}, {"b", 2}, {"c", 1}}));
+}
+
+TEST_F(RentalManagerTest, RentsSteadyMachinesInTheMainZone) {
+  settings.main_zone = "c";
+  restart();
+  EXPECT_EQ(manager->request(type, false, 6), 6);
+  ASSERT_EQ(recorded_requests.size(), 1U);
+  EXPECT_EQ(recorded_requests[0].record.rack_room, "c");
+  // Preemptible ones everywhere, and steady ones elsewhere once that zone has none left.
+  EXPECT_EQ(manager->request(type, true, 6), 6);
+  EXPECT_EQ(recorded_requests.size(), 4U);
+  recorded_requests[0].stored();
+  rent_requests[0].done({Kind::no_capacity, {}});
+  EXPECT_EQ(manager->request(type, false, 2), 2);
+  ASSERT_EQ(recorded_requests.size(), 6U);
+  EXPECT_EQ(recorded_requests[4].record.rack_room, "a");
+  EXPECT_EQ(recorded_requests[5].record.rack_room, "b");
+}
+
+TEST_F(RentalManagerTest, RentsNoMoreThanTheControllersCanServe) {
+  settings.machine_limit = 10;
+  restart();
+  add_machines(4);
+  EXPECT_EQ(manager->request(type, false, 4, "a"), 4);
+  EXPECT_EQ(manager->request(type, false, 4, "a"), 2);  // the others are on their way
+  EXPECT_EQ(manager->request(type, false, 4, "a"), 0);
+}
+
+TEST_F(RentalManagerTest, TerminatesInBatches) {
+  add_machines(250);
+  for (const auto& machine_id : machine_ids(250)) manager->terminate(*fleet.find(machine_id), "idle");
+  EXPECT_TRUE(terminations.empty());  // what is decided in one turn goes together
+  loop.run_posted();
+  ASSERT_EQ(terminations.size(), 1U);
+  EXPECT_EQ(terminations[0].hosts.size(), cloud::kMaxRelease);
+  manager->send_terminations();
+  EXPECT_EQ(terminations.size(), 1U);  // one batch at a time
+
+  for (std::size_t batch = 0; batch < 3; ++batch) {
+    ASSERT_EQ(terminations.size(), batch + 1);
+    terminations[batch].done(true);
+    manager->send_terminations();
+  }
+  EXPECT_EQ(terminations.size(), 3U);
+  EXPECT_EQ(terminations[2].hosts.size(), 50U);
+  EXPECT_EQ(terminated, machine_ids(250));
+  EXPECT_EQ(fleet.size(), 0U);
+}
+
+TEST_F(RentalManagerTest, TerminatesAMachineOnce) {
+  add_machines(1);
+  auto& machine = *fleet.find({"n-1000"});
+  manager->terminate(machine, "idle");
+  manager->terminate(machine, "silent");
+  loop.run_posted();
+  EXPECT_TRUE(machine.releasing);
+  EXPECT_EQ(terminating, machine_ids(1));
+  EXPECT_EQ(events, (std::map<std::string, int>{{"machines released (idle)", 1}}));
+  ASSERT_EQ(terminations.size(), 1U);
+  EXPECT_EQ(terminations[0].hosts, machine_ids(1));
+}
+
+TEST_F(RentalManagerTest, SendsATerminationAgainWhenTheCloudFails) {
+  add_machines(2);
+  terminate({"n-1000"});
+  terminations[0].done(false);
+  EXPECT_TRUE(terminated.empty());
+  EXPECT_FALSE(manager->recently_terminated({"n-1000"}));
+  manager->send_terminations();
+  ASSERT_EQ(terminations.size(), 2U);
+  EXPECT_EQ(terminations[1].hosts, machine_ids(1));
+  terminations[1].done(true);
+  EXPECT_EQ(terminated, machine_ids(1));
+  EXPECT_TRUE(manager->recently_terminated({"n-1000"}));
+  manager->send_terminations();
+  EXPECT_EQ(terminations.size(), 2U);
+}
+
+TEST_F(RentalManagerTest, TerminatesNothingWhileItMayNotAct) {
+  add_machines(1);
+  may_act = false;
+  terminate({"n-1000"});
+  EXPECT_TRUE(terminations.empty());
+  may_act = true;
+  manager->send_terminations();
+  EXPECT_EQ(terminations.size(), 1U);
+}
+
+TEST_F(RentalManagerTest, TerminatesAgainWhatIsStillThere) {
+  add_machines(1);
+  terminate({"n-1000"});
+  terminations[0].done(true);
+  manager->terminate_again({"n-1000"});
+  manager->send_terminations();
+  ASSERT_EQ(terminations.size(), 2U);
+  EXPECT_EQ(terminations[1].hosts, machine_ids(1));
+}
+
+TEST_F(RentalManagerTest, DoesNotAddATerminatedMachineAgain) {
+  request(2);
+  rent_requests[0].done({Kind::hosts, machine_ids(2)});
+  terminate({"n-1000"});
+  terminations[0].done(true);
+  ASSERT_EQ(fleet.size(), 1U);
+
+  // Its rental is still recorded, since the other machine has no record of its own.
+  manager->reconcile_rentals();
+  EXPECT_EQ(fleet.size(), 1U);
+  manager->reconcile_if_due();
+  ASSERT_EQ(list_requests.size(), 1U);
+  std::vector<wire::ListedHost> listed(2);
+  listed[0].uid = {"n-1000"};
+  listed[1].uid = {"n-1001"};
+  list_requests[0].done(listed);
+  EXPECT_EQ(fleet.size(), 1U);
+  EXPECT_EQ(fleet.find({"n-1000"}), nullptr);
+
+  // Once the other has its record the rental is over all the same, and this outlasts the term.
+  fleet.find({"n-1001"})->recorded = true;
+  manager->reconcile_rentals();
+  EXPECT_EQ(manager->size(), 0U);
+  manager->end_term();
+  manager->begin_term(8);
+  EXPECT_TRUE(manager->recently_terminated({"n-1000"}));
+}
+
+TEST(TerminatedMachines, AreForgottenAfterTheRetention) {
+  TerminatedMachines machines(100);
+  machines.add({"n-1"}, 10);
+  machines.add({"n-2"}, 60);
+  machines.add({"n-1"}, 70);  // again: counts from the first time
+  EXPECT_TRUE(machines.contains({"n-1"}));
+  machines.add({"n-3"}, 110);
+  EXPECT_TRUE(machines.contains({"n-1"}));
+  machines.add({"n-4"}, 111);
+  EXPECT_FALSE(machines.contains({"n-1"}));
+  EXPECT_TRUE(machines.contains({"n-2"}));
+}
+
+TEST_F(RentalManagerTest, AddsListedMachinesThatItDidNotExpect) {
+  manager->reconcile_if_due();
+  ASSERT_EQ(list_requests.size(), 1U);
+  std::vector<wire::ListedHost> listed(2);
+  listed[0] = {{"n-1"}, "10.0.0.1:1", "large", "b", true, "running", 30};
+  listed[1] = {{"n-2"}, "10.0.0.2:1", "large", "b", false, "failed", 30};
+  list_requests[0].done(listed);
+  loop.run_posted();
+  ASSERT_EQ(fleet.size(), 2U);
+  const auto& machine = *fleet.find({"n-1"});
+  EXPECT_EQ(machine.rack_room, "b");
+  EXPECT_TRUE(machine.reclaimable);
+  EXPECT_EQ(machine.size.cores, 16);
+  EXPECT_EQ(machine.first_seen, loop.now() - 30);
+  EXPECT_FALSE(machine.releasing);
+  ASSERT_EQ(terminations.size(), 1U);
+  EXPECT_EQ(terminations[0].hosts, std::vector<wire::HostId>{{"n-2"}});
+  EXPECT_EQ(events["unexpected machines"], 2);
+  EXPECT_EQ(events["machines released (failed by the cloud's list)"], 1);
+}
+
+TEST_F(RentalManagerTest, ListsTheCloudsMachinesOneRequestAtATime) {
+  manager->reconcile_if_due();
+  EXPECT_EQ(list_requests.size(), 1U);
+  loop.advance(settings.list_lag_s);
+  manager->reconcile_if_due();
+  EXPECT_EQ(list_requests.size(), 1U);  // not answered yet
+  list_requests[0].done(std::nullopt);
+  manager->reconcile_if_due();
+  EXPECT_EQ(list_requests.size(), 1U);  // not due
+  loop.advance(settings.list_lag_s);
+  manager->reconcile_if_due();
+  EXPECT_EQ(list_requests.size(), 2U);
+  // A large fleet is listed less often, as each page of the list costs a request.
+  list_requests[1].done(std::nullopt);
+  add_machines(600);
+  loop.advance(settings.list_lag_s);
+  manager->reconcile_if_due();
+  ASSERT_EQ(list_requests.size(), 3U);
+  list_requests[2].done(std::nullopt);
+  loop.advance(settings.list_lag_s);
+  manager->reconcile_if_due();
+  EXPECT_EQ(list_requests.size(), 3U);
+  loop.advance(settings.list_lag_s);
+  manager->reconcile_if_due();
+  EXPECT_EQ(list_requests.size(), 4U);
+}
+
+}  // namespace
+}  // namespace bankhill::leader
