--- a/src/leader/fleet.cpp
+++ b/src/leader/fleet.cpp
@@ -24,8 +24,7 @@
 constexpr double kBootNever = 3;   // given up
 constexpr double kMemory = 4;      // rounds after which a boot or a reclaim counts a third: a wave passes
 const std::string kSurplus = "more than planned";
-constexpr double kLeastChargeS = 60;        // the protocol: a machine that is deleted costs at least this
-constexpr double kMinReclaimHistory = 600;  // machine seconds below which the reclaim share is unknown
+constexpr double kLeastChargeS = 60;  // the protocol: a machine that is deleted costs at least this
 }  // namespace
 
 void Leader::plan_soon() {
@@ -41,21 +40,9 @@
 // What is left, after so many seconds, of something counted.
 double Leader::kept(double passed) const { return std::exp(-passed / (kMemory * settings_.round_s)); }
 
-// Reclaims are forgotten after some rounds. Counted for good, one wave kept every spot type above phi for the
-// rest of the reign: alpha's budget stayed unspent and work waited (days/ops-boots-slow).
-void Leader::age_reclaims(double passed) {
-  const double rest = kept(passed);
-  for (const auto& [pool, state] : fleet_.pools())
-    if (pool.reclaimable) reclaims_[pool.flavor].machine_s += passed * static_cast<double>(state.sums.up);
-  for (auto& [flavor, reclaims] : reclaims_) {
-    reclaims.count *= rest;
-    reclaims.machine_s *= rest;
-  }
-}
-
 bool Leader::reclaim_share_allows(const std::string& flavor) const {
-  const auto found = reclaims_.find(flavor);
-  if (found == reclaims_.end() || found->second.machine_s < kMinReclaimHistory) return true;
+  const auto reclaim_rate = spot_reclaims_.rate(flavor);
+  if (!reclaim_rate) return true;
   double task_seconds = 0;
   double tasks = 0;
   for (const auto& [id, job] : live_)
@@ -65,7 +52,7 @@
     }
   if (tasks == 0) return true;
   // The share of tasks that a reclaim would hit stands in for the paper's out-of-bid probability.
-  return found->second.count / found->second.machine_s * (task_seconds / tasks) < settings_.phi;
+  return *reclaim_rate * (task_seconds / tasks) < settings_.phi;
 }
 
 std::vector<planner::Work> Leader::current_work(bool& waiting) {
@@ -96,11 +83,13 @@
     if (placeable(job) > 0) waiting = true;
     if (item.tasks > 0) work.push_back(std::move(item));
   }
-  reserve_cores_ = service_reserve();
+  // A service starts at once only where room and image are at hand: about what comes within a short while.
+  reserve_cores_ =
+      service_demand_.reserve(loop().wall(), demand_window_s(), kReservePaces * settings_.pace_s);
   if (reserve_cores_ > 0) {
     planner::Work reserve;
-    reserve.need.cores = largest_service_;
-    reserve.tasks = reserve_cores_ / largest_service_;
+    reserve.need.cores = service_demand_.largest_task_cores();
+    reserve.tasks = reserve_cores_ / reserve.need.cores;
     reserve.task_s = reserve.window_s = 1;
     reserve.service = true;
     work.push_back(std::move(reserve));
@@ -161,23 +150,8 @@
   return longest;
 }
 
-// Cores of services accepted lately, a second.
-double Leader::service_rate() {
-  const double window = kDemandBoots * std::max(1.0, longest_boot_s());
-  const double since = loop().wall() - window;
-  for (; !arrivals_.empty() && arrivals_.begin()->first < since; arrivals_.erase(arrivals_.begin()))
-    arrived_ -= arrivals_.begin()->second;
-  if (arrivals_.empty()) arrived_ = 0;
-  return arrived_ / window;
-}
-
-// A service starts at once only where room and image are at hand: about what comes within a short while.
-double Leader::service_reserve() {
-  const double rate = service_rate();
-  if (rate <= 0 || largest_service_ <= 0) return 0;
-  return largest_service_ *
-         std::floor(rate * kReservePaces * settings_.pace_s / largest_service_ + kRounding);
-}
+// Over which the arrival of services is averaged.
+double Leader::demand_window_s() const { return kDemandBoots * std::max(1.0, longest_boot_s()); }
 
 void Leader::plan_fleet() {
   if (!valid() || flavors_.empty()) return;
@@ -456,7 +430,7 @@
   // Many of a zone at once: rather the network; releasing them would end work that goes on there.
   if (many_unheard(machine) && now - std::max(machine.last_contact, reign_since_) < settings_.lease_s) return;
   if (!machine.warned_until && machine.reclaimable && !machine.releasing)
-    reclaims_[machine.flavor].count += 1;
+    spot_reclaims_.add_reclaim(machine.flavor);
   release(machine, "silent");
 }
 
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -364,11 +364,8 @@
     if (job.live() && (!job.spec.waits_on.empty() || job.waits_parts > 0)) add_waits(job);
     // Services that are over count too: a new leader knows from the first how many come.
     if (job.service()) {
-      const double cores = job.spec.need.cores * job.spec.members;
-      arrivals_.emplace(job.accepted_at, cores);
-      arrived_ += cores;
-      largest_service_ = std::max(largest_service_, job.spec.need.cores);
-      if (!flavors_.empty()) service_rate();  // drops what is too old to count
+      service_demand_.add(job.accepted_at, job.spec.need.cores, job.spec.members);
+      if (!flavors_.empty()) service_demand_.forget_before(loop().wall() - demand_window_s());
     }
     if (reigning_ && job.live()) {
       lead_job(job);
@@ -481,7 +478,7 @@
   // Where no report can be taken, none that is missing tells anything of its machine.
   if (!valid() || passed > settings_.pace_s) takes_reports_since_ = now;
   if (!valid()) return;
-  age_reclaims(passed);
+  spot_reclaims_.advance(fleet_, passed, kept(passed));
   if (now >= next_catalogue_) fetch_catalogue();
   watch_machines(std::min(1.0, passed / kWatchS));
   rental_manager_.reconcile_if_due();
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -21,10 +21,12 @@
 #include "model/fleet.hpp"
 #include "model/job.hpp"
 #include "model/silence.hpp"
+#include "model/spot_reclaim_history.hpp"
 #include "model/waits.hpp"
 #include "net/http.hpp"
 #include "net/reports.hpp"
 #include "planner/planner.hpp"
+#include "planner/service_demand.hpp"
 #include "queue/kept_room.hpp"
 #include "queue/made_room.hpp"
 #include "queue/queue.hpp"
@@ -159,10 +161,6 @@
     bool own = false;   // one with room was passed over for a reason that is this task's own
     bool kept = false;  // one was that is kept for another, which only shorter tasks may use
   };
-  struct Reclaims {
-    double count = 0;
-    double machine_s = 0;
-  };
   using Jobs = std::map<wire::JobId, model::Job>;
   using Pool = model::Pool;
 
@@ -310,8 +308,7 @@
   void plan_soon();
   void plan_fleet();
   std::vector<planner::Work> current_work(bool& waiting);
-  double service_rate();
-  double service_reserve();
+  double demand_window_s() const;
   bool can_take_its_time(const model::Job& job) const;
   void look_ahead();
   calendar::Outlook::Supply supply(const std::string& owner) const;
@@ -340,7 +337,6 @@
   bool return_idle(model::Machine& machine);
   double idle_limit(const model::Machine& machine) const;
   bool reclaim_share_allows(const std::string& flavor) const;
-  void age_reclaims(double passed);
   double kept(double passed) const;
 
   runtime::Log log_;
@@ -356,8 +352,7 @@
       to_cancel_;  // never started, cancelled with one they need: not yet in their records
   std::map<wire::JobId, model::Job*> live_;
   std::deque<wire::JobId> final_order_;
-  std::multimap<double, double> arrivals_;  // cores of services accepted lately, by time of day
-  double arrived_ = 0;                      // their sum
+  planner::ServiceDemand service_demand_;
   std::vector<wire::Flavor> flavors_;
   std::uint64_t hold_ = 0;
   double valid_until_ = 0;
@@ -381,7 +376,6 @@
   std::set<wire::HostId> surplus_;  // steady machines that take no more batches
   double spare_cores_ = 0;          // of steady machines beyond the plan
   double reserve_cores_ = 0;        // of steady machines: kept free of batches for services to come
-  double largest_service_ = 0;      // cores of one task
   double service_cores_ = 0;        // that services use
   std::map<std::string, Group> groups_;
   std::map<Pool, std::set<std::string>> open_groups_;
@@ -411,7 +405,7 @@
   double next_sample_ = 0;
   double next_unanswered_ = 0;
   std::map<std::string, std::uint64_t> tally_;  // of what happened since the last summary in the log
-  std::map<std::string, Reclaims> reclaims_;
+  model::SpotReclaimHistory spot_reclaims_;
   model::Boots boots_;
   double boots_at_ = 0;  // steady clock: when these were counted
   Batch intents_;
--- /dev/null
+++ b/tests/service_demand_test.cpp
@@ -0,0 +1,58 @@
+// Services that come, and the room kept for them (planner/service_demand.hpp).
+#include "planner/service_demand.hpp"
+
+#include <gtest/gtest.h>
+
+namespace bankhill::planner {
+namespace {
+
+constexpr double kWindowS = 100;
+
+TEST(ServiceDemand, RateIsWhatCameInTheWindow) {
+  ServiceDemand demand;
+  EXPECT_EQ(demand.rate(1000, kWindowS), 0);
+  demand.add(950, 2, 10);
+  demand.add(920, 4, 5);  // in any order
+  EXPECT_DOUBLE_EQ(demand.rate(1000, kWindowS), 40 / kWindowS);
+  EXPECT_DOUBLE_EQ(demand.rate(1020, kWindowS), 40 / kWindowS);  // at its edge it counts
+  EXPECT_DOUBLE_EQ(demand.rate(1021, kWindowS), 20 / kWindowS);
+  EXPECT_EQ(demand.rate(1051, kWindowS), 0);
+}
+
+TEST(ServiceDemand, WhatIsForgottenDoesNotComeBackWithALongerWindow) {
+  ServiceDemand demand;
+  demand.add(900, 1, 8);
+  demand.add(990, 1, 4);
+  demand.forget_before(950);
+  EXPECT_DOUBLE_EQ(demand.rate(1000, 1000), 4.0 / 1000);
+}
+
+TEST(ServiceDemand, NoRoundingErrorIsLeftWhenAllIsForgotten) {
+  ServiceDemand demand;
+  for (int i = 0; i < 1000; ++i) demand.add(i, 0.1, 3);
+  demand.forget_before(2000);
+  EXPECT_EQ(demand.rate(2000, kWindowS), 0);
+}
+
+TEST(ServiceDemand, ReservesWholeTasksOfTheLargestSize) {
+  ServiceDemand demand;
+  EXPECT_EQ(demand.reserve(1000, kWindowS, 10), 0);
+  demand.add(950, 4, 25);
+  EXPECT_EQ(demand.largest_task_cores(), 4);
+  // One core a second: 10 in the lead time, of which two whole tasks.
+  EXPECT_DOUBLE_EQ(demand.reserve(1000, kWindowS, 10), 8);
+  EXPECT_DOUBLE_EQ(demand.reserve(1000, kWindowS, 12), 12);
+  EXPECT_EQ(demand.reserve(1000, kWindowS, 3), 0);
+  EXPECT_EQ(demand.reserve(2000, kWindowS, 10), 0);
+}
+
+TEST(ServiceDemand, TheLargestTaskIsRemembered) {
+  ServiceDemand demand;
+  demand.add(100, 16, 1);
+  demand.add(950, 2, 100);
+  EXPECT_DOUBLE_EQ(demand.reserve(1000, kWindowS, 10), 16);
+  EXPECT_EQ(demand.largest_task_cores(), 16);
+}
+
+}  // namespace
+}  // namespace bankhill::planner
--- /dev/null
+++ b/tests/spot_reclaim_history_test.cpp
@@ -0,0 +1,81 @@
+// How often the cloud took preemptible machines back (model/spot_reclaim_history.hpp).
+#include "model/spot_reclaim_history.hpp"
+
+#include <gtest/gtest.h>
+
+namespace bankhill::model {
+namespace {
+
+class SpotReclaimHistoryTest : public testing::Test {
+ protected:
+  void add_machine(const std::string& machine_type, bool preemptible, bool up = true) {
+    auto& machine = *fleet.add({"n-" + std::to_string(fleet.size())}).first;
+    machine.flavor = machine_type;
+    machine.rack_room = "a";
+    machine.reclaimable = preemptible;
+    machine.size = {4, 0, 16};
+    machine.up = up;
+    fleet.refresh(machine);
+  }
+
+  Fleet fleet;
+  SpotReclaimHistory history;
+};
+
+TEST_F(SpotReclaimHistoryTest, KnowsNoRateUntilMachinesWereUpForLongEnough) {
+  add_machine("large", true);
+  add_machine("large", true);
+  history.add_reclaim("large");
+  EXPECT_FALSE(history.rate("large"));
+  history.advance(fleet, 299, 1);
+  EXPECT_FALSE(history.rate("large"));  // 598 machine seconds
+  history.advance(fleet, 1, 1);
+  ASSERT_TRUE(history.rate("large"));
+  EXPECT_DOUBLE_EQ(*history.rate("large"), 1.0 / 600);
+  EXPECT_FALSE(history.rate("small"));
+}
+
+TEST_F(SpotReclaimHistoryTest, CountsPreemptibleMachinesThatAreUpByType) {
+  add_machine("large", true);
+  add_machine("large", true, false);
+  add_machine("small", false);
+  history.add_reclaim("small");
+  history.advance(fleet, 1000, 1);
+  history.add_reclaim("large");
+  history.add_reclaim("large");
+  EXPECT_DOUBLE_EQ(*history.rate("large"), 2.0 / 1000);
+  EXPECT_FALSE(history.rate("small"));
+}
+
+TEST_F(SpotReclaimHistoryTest, HasNoReclaimsWhereNoneWere) {
+  add_machine("large", true);
+  history.advance(fleet, 1000, 1);
+  EXPECT_EQ(history.rate("large"), 0);
+}
+
+// One wave must not rule a type out for good.
+TEST_F(SpotReclaimHistoryTest, ForgetsReclaimsWhileTheMachinesThatStayCount) {
+  add_machine("large", true);
+  history.advance(fleet, 1000, 1);
+  for (int i = 0; i < 10; ++i) history.add_reclaim("large");
+  double last = *history.rate("large");
+  EXPECT_DOUBLE_EQ(last, 10.0 / 1000);
+  for (int i = 0; i < 20; ++i) {
+    history.advance(fleet, 1000, 0.5);
+    EXPECT_LT(*history.rate("large"), last);
+    last = *history.rate("large");
+  }
+  EXPECT_LT(last, 1e-6);
+}
+
+TEST_F(SpotReclaimHistoryTest, KnowsNothingAgainOnceAllIsForgotten) {
+  add_machine("large", true);
+  history.advance(fleet, 1000, 1);
+  ASSERT_TRUE(history.rate("large"));
+  fleet.clear();
+  history.advance(fleet, 1, 0.5);
+  EXPECT_FALSE(history.rate("large"));
+}
+
+}  // namespace
+}  // namespace bankhill::model
