--- a/src/cloud/cloud.hpp
+++ b/src/cloud/cloud.hpp
@@ -22,7 +22,8 @@
 
 constexpr std::size_t kMaxRelease = 100;
 constexpr std::uint32_t kMaxRental = 50;
-constexpr std::size_t kPage = 500;  // hosts of one page of the list
+constexpr std::size_t kPage = 500;    // hosts of one page of the list
+constexpr double kLeastChargeS = 60;  // the protocol: a machine that is terminated costs at least this
 
 // Messages.
 struct GetCatalogue {
--- a/src/leader/fleet.cpp
+++ b/src/leader/fleet.cpp
@@ -1,4 +1,4 @@
-// What is rented and returned: rounds (the paper's Algorithm 3), silent machines.
+// The fleet: cutoffs ahead, machines that are drained, silent or gone, and what renting needs of the leader.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -12,104 +12,17 @@
 
 namespace {
 constexpr std::uint32_t kProbesUnanswered = 2;  // with at least so many unanswered
-constexpr double kAskedAgain = 1.5;   // paces after which one that this reign never heard is given up
-constexpr double kMassShare = 0.4;    // more machines silent than this: it is our network, not theirs
-constexpr double kWindowShare = 0.5;  // of the time left until a job is due
-constexpr double kRounding = 1e-6;
-constexpr double kDemandBoots = 4;   // boot times over which arrivals are averaged
-constexpr double kReservePaces = 2;  // services that come within this find room
-constexpr double kPlanGap = 0.3;     // between two plans made on events
+constexpr double kAskedAgain = 1.5;  // paces after which one that this reign never heard is given up
+constexpr double kMassShare = 0.4;   // more machines silent than this: it is our network, not theirs
 // Ratios to a type's usual boot time.
 constexpr double kBootLate = 1.6;  // no longer counted as coming: the protocol's usual boot takes up to 1.5
 constexpr double kBootNever = 3;   // given up
 constexpr double kMemory = 4;      // rounds after which a boot or a reclaim counts a third: a wave passes
-const std::string kSurplus = "more than planned";
-constexpr double kLeastChargeS = 60;  // the protocol: a machine that is deleted costs at least this
 }  // namespace
 
-void Leader::plan_soon() {
-  if (plan_scheduled_) return;
-  plan_scheduled_ = true;
-  const double wait = std::max(0.0, last_plan_ + kPlanGap * settings_.pace_s - loop().now());
-  plan_timer_ = loop().after(wait, guard([this] {
-                               plan_scheduled_ = false;
-                               plan_fleet();
-                             }));
-}
-
 // What is left, after so many seconds, of something counted.
 double Leader::kept(double passed) const { return std::exp(-passed / (kMemory * settings_.round_s)); }
 
-bool Leader::reclaim_share_allows(const std::string& flavor) const {
-  const auto reclaim_rate = spot_reclaims_.rate(flavor);
-  if (!reclaim_rate) return true;
-  double task_seconds = 0;
-  double tasks = 0;
-  for (const auto& [id, job] : live_)
-    if (!job->service()) {
-      task_seconds += task_s(*job) * job->spec.members;
-      tasks += job->spec.members;
-    }
-  if (tasks == 0) return true;
-  // The share of tasks that a reclaim would hit stands in for the paper's out-of-bid probability.
-  return *reclaim_rate * (task_seconds / tasks) < settings_.phi;
-}
-
-std::vector<planner::Work> Leader::current_work(bool& waiting) {
-  std::vector<planner::Work> work;
-  std::map<std::string, double> cores;
-  for (const auto& [id, pointer] : live_) {
-    const auto& job = *pointer;
-    if (!job.released || loop().now() < job.blocked_until) continue;
-    planner::Work item;
-    item.need = job.spec.need;
-    item.tasks = std::max(0.0, 1.0 * job.unfinished() - (job.ready - placeable(job)));
-    item.task_s = std::max(1.0, task_s(job));
-    // The period in which the work should be done. Estimates are often wrong by half: part of the time
-    // that is left is kept in reserve.
-    item.window_s = std::max(item.task_s, kWindowShare * queue_.due_in(job, loop().wall()));
-    if (std::isinf(item.window_s)) item.window_s = item.task_s;
-    item.service = job.service();
-    item.reclaimable = job.spec.reclaimable;
-    item.flavors = job.spec.flavors;
-    item.rack_room = job.spec.rack_room;
-    if (const auto* owner = team(job.spec.owner)) {
-      // Tasks beyond the team's limit cannot run at the same time.
-      auto& used = cores[job.spec.owner];
-      item.tasks =
-          std::min(item.tasks, std::max(0.0, std::floor((owner->limit.cores - used) / item.need.cores)));
-      used += item.tasks * item.need.cores;
-    }
-    if (placeable(job) > 0) waiting = true;
-    if (item.tasks > 0) work.push_back(std::move(item));
-  }
-  // A service starts at once only where room and image are at hand: about what comes within a short while.
-  reserve_cores_ =
-      service_demand_.reserve(loop().wall(), demand_window_s(), kReservePaces * settings_.pace_s);
-  if (reserve_cores_ > 0) {
-    planner::Work reserve;
-    reserve.need.cores = service_demand_.largest_task_cores();
-    reserve.tasks = reserve_cores_ / reserve.need.cores;
-    reserve.task_s = reserve.window_s = 1;
-    reserve.service = true;
-    work.push_back(std::move(reserve));
-  }
-  return work;
-}
-
-// Work for a far cutoff that some machine will take goes by the plan alone, which spreads it. Earning a
-// machine whenever all were busy, it had as many within minutes as without a calendar, steady ones at that.
-bool Leader::can_take_its_time(const model::Job& job) const {
-  if (!queue_.cutoff(job) || !job.failed_on.empty()) return false;
-  const double due = queue_.due_in(job, loop().wall());
-  if (std::isinf(due) || kWindowShare * due < task_s(job) + longest_boot_s()) return false;
-  return std::any_of(fleet_.pools().begin(), fleet_.pools().end(), [&](const auto& entry) {
-    const auto& [pool, state] = entry;
-    return state.sums.up + state.sums.coming > 0 && model::allows(job.spec, pool) &&
-           job.spec.need.fits(state.size);
-  });
-}
-
 // How the cutoffs stand, once a round: whoever comes at eight finds either the work done or a plain stall.
 void Leader::look_ahead() {
   outlook_.begin(loop().wall());
@@ -141,133 +54,7 @@
   const double limit = std::max(0.0, tenant->limit.cores - usage.service_cores);
   const double own = std::max(std::min(tenant->guarantee.cores, cores), usage.used.cores + free);
   const double now = std::min(limit, std::max(0.0, own - usage.service_cores));
-  return {now, queue_.overloaded() ? now : limit, longest_boot_s()};
-}
-
-double Leader::longest_boot_s() const {
-  double longest = 0;
-  for (const auto& type : flavors_) longest = std::max(longest, type.boot_s);
-  return longest;
-}
-
-// Over which the arrival of services is averaged.
-double Leader::demand_window_s() const { return kDemandBoots * std::max(1.0, longest_boot_s()); }
-
-void Leader::plan_fleet() {
-  if (!valid() || flavors_.empty()) return;
-  last_plan_ = loop().now();
-  std::vector<planner::Offer> offers;
-  for (const auto& flavor : flavors_) offers.push_back({flavor, reclaim_share_allows(flavor.name)});
-  bool waiting = false;
-  const auto work = current_work(waiting);
-  const auto plan = planner::plan(work, offers, settings_.alpha);
-  top_up(plan, offers, waiting);
-}
-
-void Leader::top_up(const planner::Plan& plan, const std::vector<planner::Offer>& offers, bool waiting) {
-  // What is wanted and what is there, in cores of each kind: a machine of another type does as well.
-  double wanted[2] = {0, 0};
-  for (std::size_t i = 0; i < offers.size(); ++i) {
-    wanted[0] += plan.steady[i] * offers[i].flavor.size.cores;
-    wanted[1] += (plan.spot[i] + plan.avoided[i]) * offers[i].flavor.size.cores;
-  }
-  double there[2] = {0, 0};
-  for (const auto& [pool, state] : fleet_.pools()) there[pool.reclaimable ? 1 : 0] += state.sums.cores;
-  rental_manager_.visit_requested([&](const wire::RentalRecord& requested) {
-    if (const auto* type = flavor(requested.flavor))
-      there[requested.reclaimable ? 1 : 0] += type->size.cores * requested.count;
-  });
-  double missing[2] = {wanted[0] - there[0], wanted[1] - there[1]};
-  log_->debug("plan: {:.0f} steady and {:.0f} spot cores wanted, {:.0f} and {:.0f} there or coming{}",
-              wanted[0], wanted[1], there[0], there[1], waiting ? ", work waits" : "");
-  // Whatever covers what is missing at the least cost: a machine much larger than that would stand idle for
-  // the most part. What a type cannot give is asked of the next.
-  for (const bool spot : {true, false}) {
-    double& lack = missing[spot ? 1 : 0];
-    if (!spot) recall_surplus(lack);
-    std::vector<std::size_t> left;
-    for (std::size_t i = 0; i < offers.size(); ++i)
-      if (!spot || offers[i].spot_allowed) left.push_back(i);
-    while (lack > kRounding && !left.empty()) {
-      const auto cover = [&](std::size_t i) {
-        const auto& flavor = offers[i].flavor;
-        return std::ceil(lack / flavor.size.cores - kRounding) * (spot ? flavor.low_price : flavor.rate);
-      };
-      const auto best = std::min_element(left.begin(), left.end(),
-                                         [&](std::size_t x, std::size_t y) { return cover(x) < cover(y); });
-      const auto& offer = offers[*best];
-      const double machines = std::ceil(lack / offer.flavor.size.cores - kRounding);
-      lack -= rental_manager_.request(offer.flavor, spot, machines) * offer.flavor.size.cores;
-      left.erase(best);
-    }
-    // Exception to the design (its first doubt): alpha's budget that no spot type can take must not stay
-    // unspent while work waits.
-    if (spot && lack > 0 && waiting) missing[0] += lack;
-  }
-  note_overload(wanted[0] + wanted[1], std::max(0.0, missing[0]) + (waiting ? 0 : std::max(0.0, missing[1])));
-  spare_steady(missing[0]);
-  // Ready work that no machine can take earns its type at least one machine.
-  std::vector<bool> earned(offers.size(), false);
-  for (const auto& [id, pointer] : queue_.jobs()) {
-    const auto& job = *pointer;
-    if (missing[0] > 0 || missing[1] > 0) break;
-    if (replicas_.follows(id) || !may_start(job) || !team_has_room(job) || can_take_its_time(job)) continue;
-    const bool coming = std::any_of(fleet_.pools().begin(), fleet_.pools().end(), [&](const auto& entry) {
-      const auto& [pool, state] = entry;
-      if (!model::allows(job.spec, pool)) return false;
-      if (state.sums.coming + state.sums.joining > 0 && job.spec.need.fits(state.size)) return true;
-      // A machine that its tasks failed on takes no more of it: where all have, it waited for ever.
-      const auto* roomiest = state.open.empty() ? nullptr : state.open.rbegin()->machine;
-      return roomiest != nullptr && job.spec.need.fits(roomiest->room()) &&
-             !job.failed_on.contains(roomiest->host);
-    });
-    if (coming) continue;
-    planner::Work item;
-    item.need = job.spec.need;
-    item.flavors = job.spec.flavors;
-    item.rack_room = job.spec.rack_room;
-    const auto type = planner::preferred(item, offers);
-    if (!type || earned[*type]) continue;
-    earned[*type] = true;
-    if (rental_manager_.any_requested()) continue;
-    // Smallest type that holds it, since one task is all that is known to need it.
-    std::size_t smallest = *type;
-    for (std::size_t i = 0; i < offers.size(); ++i)
-      if (planner::slots(item.need, offers[i].flavor.size) >= 1 &&
-          planner::allows(item.flavors, offers[i].flavor.name) &&
-          offers[i].flavor.rate < offers[smallest].flavor.rate)
-        smallest = i;
-    // Elsewhere none is of use to it.
-    rental_manager_.request(offers[smallest].flavor, false, 1, job.spec.rack_room.value_or(""));
-  }
-  rent_for_replicas(offers);
-}
-
-// Steady machines beyond the plan's count take no more batches and are returned once empty: "steady first"
-// keeps them busy for ever, at four times the price, while spot machines paid for stand idle. Only as many as
-// idle spot machines can stand in for: else their rooms stay empty while work waits. A machine with services
-// stays.
-void Leader::spare_steady(double missing) {
-  double idle_spot = 0;
-  for (const auto& [pool, state] : fleet_.pools())
-    if (pool.reclaimable) idle_spot += state.sums.free_cores;
-  for (const auto& host : surplus_) {
-    const auto* machine = fleet_.peek(host);
-    if (!machine->releasing) idle_spot -= machine->size.cores;
-  }
-  spare_cores_ = std::max(0.0, std::min(-missing, idle_spot));
-}
-
-// Machines on their way out are wanted again: they are there at once.
-void Leader::recall_surplus(double& missing) {
-  while (missing > kRounding && !surplus_.empty()) {
-    auto* machine = fleet_.find(*surplus_.begin());
-    surplus_.erase(surplus_.begin());
-    if (machine->releasing || !use_again(*machine, kSurplus)) continue;
-    machine->idle_since = loop().now();
-    missing -= machine->size.cores;
-    ++tally_["surplus machines wanted again"];
-  }
+  return {now, queue_.overloaded() ? now : limit, planner::longest_boot_s(flavors_)};
 }
 
 // Takes no more tasks, and is returned once empty.
@@ -289,17 +76,6 @@
   return true;
 }
 
-void Leader::spare(Machine& machine) {
-  if (machine.reclaimable || machine.size.cores > spare_cores_ || machine.service_cores > 0 ||
-      machine.kept.cores > 0)
-    return;
-  if (!machine.takes_tasks() || loop().now() - machine.first_seen < kLeastChargeS) return;
-  spare_cores_ -= machine.size.cores;
-  drain(machine, kSurplus);
-  surplus_.insert(machine.host);
-  ++tally_["machines surplus"];
-}
-
 void Leader::watch_machines(double share) {
   const double now = loop().now();
   doubtful_ = false;
@@ -316,7 +92,7 @@
 
 double Leader::boot_s(const Machine& machine) const {
   const auto* type = flavor(machine.flavor);
-  return type == nullptr ? kLeastChargeS : type->boot_s;
+  return type == nullptr ? cloud::kLeastChargeS : type->boot_s;
 }
 
 // Counts a boot as in time or late, and tells the operators when boots in general become bad or well again.
@@ -430,7 +206,7 @@
   // Many of a zone at once: rather the network; releasing them would end work that goes on there.
   if (many_unheard(machine) && now - std::max(machine.last_contact, reign_since_) < settings_.lease_s) return;
   if (!machine.warned_until && machine.reclaimable && !machine.releasing)
-    spot_reclaims_.add_reclaim(machine.flavor);
+    autoscaler_.machine_reclaimed(machine.flavor);
   release(machine, "silent");
 }
 
@@ -467,9 +243,35 @@
   return ports;
 }
 
+Autoscaler::Settings Leader::autoscaler_settings() const {
+  return {settings_.pace_s, settings_.round_s, settings_.alpha, settings_.phi, settings_.idle_boots};
+}
+
+Autoscaler::Ports Leader::autoscaler_ports() {
+  Autoscaler::Ports ports;
+  ports.may_act = [this] { return valid(); };
+  ports.may_start = [this](const model::Job& job) { return may_start(job); };
+  ports.quota_allows = [this](const model::Job& job) { return team_has_room(job); };
+  ports.placeable_tasks = [this](const model::Job& job) { return placeable(job); };
+  ports.is_gang = [this](const wire::JobId& id) { return replicas_.follows(id); };
+  ports.core_limit = [this](const std::string& name) -> std::optional<double> {
+    const auto* owner = team(name);
+    if (owner == nullptr) return std::nullopt;
+    return owner->limit.cores;
+  };
+  ports.rent_for_gangs = [this](const std::vector<planner::Offer>& offers) { rent_for_replicas(offers); };
+  ports.note_overload = [this](double wanted, double lacking) { note_overload(wanted, lacking); };
+  ports.drain = [this](Machine& machine, const std::string& reason) { drain(machine, reason); };
+  ports.use_again = [this](Machine& machine, const std::string& reason) {
+    return use_again(machine, reason);
+  };
+  ports.count_event = [this](const std::string& event) { ++tally_[event]; };
+  return ports;
+}
+
 // It is gone, and so is all that ran there.
 void Leader::forget_machine(const wire::HostId& machine_id) {
-  surplus_.erase(machine_id);
+  autoscaler_.machine_terminated(machine_id);
   auto* machine = fleet_.find(machine_id);
   if (machine == nullptr) return;
   std::vector<wire::MemberId> tasks;
@@ -481,20 +283,4 @@
   plan_soon();
 }
 
-// An idle machine is worth keeping for about as long as another takes to boot, the less the dearer it is.
-double Leader::idle_limit(const Machine& machine) const {
-  const auto* type = flavor(machine.flavor);
-  if (type == nullptr) return settings_.round_s;
-  return settings_.idle_boots * type->boot_s * (machine.reclaimable ? 1 : type->low_price / type->rate);
-}
-
-bool Leader::return_idle(Machine& machine) {
-  const double now = loop().now();
-  if (!machine.takes_tasks() || !machine.binds.empty() || machine.kept.cores > 0) return false;
-  if (now - machine.idle_since < idle_limit(machine) || now - machine.first_seen < kLeastChargeS)
-    return false;
-  release(machine, "idle");
-  return true;
-}
-
 }  // namespace bankhill::leader
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -52,6 +52,8 @@
       rental_manager_(loop, log_, rental_settings(), fleet_, rental_ports()),
       strangers_(settings_.pace_s, settings_.lease_s, kStrangers),
       queue_(queue_settings(), queue_facts()),
+      autoscaler_(loop, log_, autoscaler_settings(), {flavors_, live_, queue_, fleet_, rental_manager_},
+                  autoscaler_ports()),
       replicas_({settings_.gang_wait_s, settings_.gang_peer_s, settings_.gang_wait_s}),
       kept_room_({settings_.pace_s, kKeptOverdue * settings_.begin_within_s, kKeptMost}),
       bounds_(limits_of(settings_.teams), kBoundSteps) {
@@ -185,8 +187,7 @@
   buckets_.clear();
   open_buckets_.clear();
   strangers_.clear();
-  surplus_.clear();
-  spare_cores_ = 0;
+  autoscaler_.end_term();
   service_cores_ = 0;
   to_ask_.clear();
   awaiting_.clear();
@@ -364,8 +365,7 @@
     if (job.live() && (!job.spec.waits_on.empty() || job.waits_parts > 0)) add_waits(job);
     // Services that are over count too: a new leader knows from the first how many come.
     if (job.service()) {
-      service_demand_.add(job.accepted_at, job.spec.need.cores, job.spec.members);
-      if (!flavors_.empty()) service_demand_.forget_before(loop().wall() - demand_window_s());
+      autoscaler_.service_accepted(job);
     }
     if (reigning_ && job.live()) {
       lead_job(job);
@@ -478,7 +478,7 @@
   // Where no report can be taken, none that is missing tells anything of its machine.
   if (!valid() || passed > settings_.pace_s) takes_reports_since_ = now;
   if (!valid()) return;
-  spot_reclaims_.advance(fleet_, passed, kept(passed));
+  autoscaler_.advance(passed, kept(passed));
   if (now >= next_catalogue_) fetch_catalogue();
   watch_machines(std::min(1.0, passed / kWatchS));
   rental_manager_.reconcile_if_due();
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -14,6 +14,7 @@
 
 #include "calendar/outlook.hpp"
 #include "cloud/cloud.hpp"
+#include "leader/autoscaler.hpp"
 #include "leader/rental_manager.hpp"
 #include "leader/strangers.hpp"
 #include "model/boots.hpp"
@@ -21,12 +22,10 @@
 #include "model/fleet.hpp"
 #include "model/job.hpp"
 #include "model/silence.hpp"
-#include "model/spot_reclaim_history.hpp"
 #include "model/waits.hpp"
 #include "net/http.hpp"
 #include "net/reports.hpp"
 #include "planner/planner.hpp"
-#include "planner/service_demand.hpp"
 #include "queue/kept_room.hpp"
 #include "queue/made_room.hpp"
 #include "queue/queue.hpp"
@@ -305,18 +304,12 @@
   void replicas_fail(const model::Machine& machine);
 
   // Fleet (fleet.cpp)
-  void plan_soon();
-  void plan_fleet();
-  std::vector<planner::Work> current_work(bool& waiting);
-  double demand_window_s() const;
-  bool can_take_its_time(const model::Job& job) const;
+  void plan_soon() { autoscaler_.plan_soon(); }
+  Autoscaler::Settings autoscaler_settings() const;
+  Autoscaler::Ports autoscaler_ports();
   void look_ahead();
   calendar::Outlook::Supply supply(const std::string& owner) const;
-  double longest_boot_s() const;
-  void top_up(const planner::Plan& plan, const std::vector<planner::Offer>& offers, bool waiting);
-  void spare_steady(double missing);
-  void recall_surplus(double& missing);
-  void spare(model::Machine& machine);
+  void spare(model::Machine& machine) { autoscaler_.drain_if_excess(machine); }
   void drain(model::Machine& machine, const std::string& reason);
   bool use_again(model::Machine& machine, const std::string& reason);
   RentalManager::Settings rental_settings() const;
@@ -334,9 +327,7 @@
   void release(model::Machine& machine, const std::string& reason) {
     rental_manager_.terminate(machine, reason);
   }
-  bool return_idle(model::Machine& machine);
-  double idle_limit(const model::Machine& machine) const;
-  bool reclaim_share_allows(const std::string& flavor) const;
+  bool return_idle(model::Machine& machine) { return autoscaler_.terminate_if_idle(machine); }
   double kept(double passed) const;
 
   runtime::Log log_;
@@ -352,7 +343,6 @@
       to_cancel_;  // never started, cancelled with one they need: not yet in their records
   std::map<wire::JobId, model::Job*> live_;
   std::deque<wire::JobId> final_order_;
-  planner::ServiceDemand service_demand_;
   std::vector<wire::Flavor> flavors_;
   std::uint64_t hold_ = 0;
   double valid_until_ = 0;
@@ -373,10 +363,7 @@
   model::Fleet fleet_;
   RentalManager rental_manager_;
   Strangers strangers_;
-  std::set<wire::HostId> surplus_;  // steady machines that take no more batches
-  double spare_cores_ = 0;          // of steady machines beyond the plan
-  double reserve_cores_ = 0;        // of steady machines: kept free of batches for services to come
-  double service_cores_ = 0;        // that services use
+  double service_cores_ = 0;  // that services use
   std::map<std::string, Group> groups_;
   std::map<Pool, std::set<std::string>> open_groups_;
   std::map<std::uint64_t, Bucket> buckets_;
@@ -386,6 +373,7 @@
   std::size_t asking_ = 0;
   std::vector<Awaiting> awaiting_;
   queue::Queue queue_;  // of live jobs with tasks to place
+  Autoscaler autoscaler_;
   replicas::Placer replicas_;
   queue::KeptRoom kept_room_;
   queue::MadeRoom made_room_;
@@ -405,7 +393,6 @@
   double next_sample_ = 0;
   double next_unanswered_ = 0;
   std::map<std::string, std::uint64_t> tally_;  // of what happened since the last summary in the log
-  model::SpotReclaimHistory spot_reclaims_;
   model::Boots boots_;
   double boots_at_ = 0;  // steady clock: when these were counted
   Batch intents_;
@@ -424,12 +411,9 @@
   double next_progress_ = 0;
   double next_summary_ = 0;
   double last_tick_ = 0;
-  double last_plan_ = -1e9;
   bool place_scheduled_ = false;
-  bool plan_scheduled_ = false;
   runtime::Timer tick_timer_;
   runtime::Timer place_timer_;
-  runtime::Timer plan_timer_;
   runtime::Timer flush_timer_;
 };
 
--- a/src/leader/placement.cpp
+++ b/src/leader/placement.cpp
@@ -138,7 +138,8 @@
   if (!job.service()) return false;
   // In a fleet of few large machines none with fewer ever comes: hundreds waited for minutes beside free
   // cores.
-  if (!job.begun() && loop().wall() - job.ready_at > kSpreadBoots * longest_boot_s()) return false;
+  if (!job.begun() && loop().wall() - job.ready_at > kSpreadBoots * planner::longest_boot_s(flavors_))
+    return false;
   const double most = std::max(kServicesTogether * job.spec.need.cores, kServiceShare * service_cores_);
   return machine.service_cores + job.spec.need.cores > most + kRounding;
 }
@@ -298,8 +299,8 @@
       // Except to the few for which a machine drains: what ends beside it goes to smaller ones, which fit
       // above the reserve sooner.
       const bool drains = kept_room_.host_of(job.spec.uid) != nullptr;
-      const bool reserved =
-          !job.service() && !drains && steady_free() - job.spec.need.cores < reserve_cores_ - kRounding;
+      const bool reserved = !job.service() && !drains &&
+                            steady_free() - job.spec.need.cores < autoscaler_.reserved_cores() - kRounding;
       missed.own = reserved;
       auto* machine = hopeless || reserved ? nullptr : pick(job, false, missed);
       if (machine == nullptr && !hopeless && job.spec.reclaimable) machine = pick(job, true, missed);
--- a/src/leader/reports.cpp
+++ b/src/leader/reports.cpp
@@ -692,7 +692,7 @@
   if (machine.warned_until) return;
   machine.warned_until = now + warning_s;
   drain(machine, "the cloud takes it back");
-  spot_reclaims_.add_reclaim(machine.flavor);
+  autoscaler_.machine_reclaimed(machine.flavor);
   log_->debug("machine {}: the cloud takes it in {} s, {} tasks", machine.host.value, warning_s,
               machine.binds.size());
   ++tally_["machines warned"];
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -44,6 +44,12 @@
   return !flavors || std::find(flavors->begin(), flavors->end(), flavor) != flavors->end();
 }
 
+double longest_boot_s(const std::vector<wire::Flavor>& machine_types) {
+  double longest = 0;
+  for (const auto& type : machine_types) longest = std::max(longest, type.boot_s);
+  return longest;
+}
+
 std::optional<std::size_t> preferred(const Work& work, const std::vector<Offer>& offers) {
   std::optional<std::size_t> best;
   double best_price = 0;
--- a/src/planner/planner.hpp
+++ b/src/planner/planner.hpp
@@ -40,6 +40,9 @@
 // How many tasks of this size a machine holds at once.
 double slots(const wire::Amounts& need, const wire::Amounts& size);
 
+// Of the types of the catalogue; 0 if it is empty.
+double longest_boot_s(const std::vector<wire::Flavor>& machine_types);
+
 bool allows(const std::optional<std::vector<std::string>>& flavors, const std::string& flavor);
 
 // Index of the offer on which a task completes earliest when its machine is still to be rented; of equals
--- /dev/null
+++ b/tests/autoscaler_test.cpp
@@ -0,0 +1,451 @@
+// What is rented and returned for the work there is, without a leader.
+#include "leader/autoscaler.hpp"
+
+#include <gtest/gtest.h>
+#include <spdlog/sinks/null_sink.h>
+
+#include "manual_loop.hpp"
+
+namespace bankhill::leader {
+namespace {
+
+struct Request {
+  std::string machine_type;
+  std::uint32_t count = 0;
+  bool preemptible = false;
+  bool operator==(const Request&) const = default;
+};
+
+void PrintTo(const Request& request, std::ostream* out) {
+  *out << request.count << " x " << request.machine_type << (request.preemptible ? ", preemptible" : "");
+}
+
+struct Overload {
+  double wanted = 0;
+  double lacking = 0;
+};
+
+class AutoscalerTest : public testing::Test {
+ protected:
+  AutoscalerTest() { rentals.begin_term(7); }
+
+  RentalManager::Ports rental_ports() {
+    RentalManager::Ports ports;
+    ports.may_act = [this] { return may_act; };
+    ports.send_to_cloud = [](const cloud::Cloud::Message&) {};
+    ports.machine_type = [this](const std::string& name) -> const wire::Flavor* {
+      for (const auto& type : machine_types)
+        if (type.name == name) return &type;
+      return nullptr;
+    };
+    ports.store_request = [this](const std::string&, const wire::RentalRecord& record,
+                                 const std::function<void()>&) {
+      requests.push_back({record.flavor, record.count, record.reclaimable});
+      request_zones.push_back(record.rack_room);
+    };
+    ports.store_machines = [](const std::string&, const wire::RentalRecord&) {};
+    ports.remove_record = [](const std::string&) {};
+    ports.terminating = [this](const model::Machine& machine) { terminating.push_back(machine.host); };
+    ports.terminated = [](const wire::HostId&) {};
+    ports.plan_soon = [] {};
+    ports.count_event = [](const std::string&) {};
+    return ports;
+  }
+
+  Autoscaler::Ports ports() {
+    Autoscaler::Ports result;
+    result.may_act = [this] { return may_act; };
+    result.may_start = [this](const model::Job&) { return may_start; };
+    result.quota_allows = [this](const model::Job&) { return quota_allows; };
+    result.placeable_tasks = [](const model::Job& job) { return job.ready; };
+    result.is_gang = [this](const wire::JobId&) { return is_gang; };
+    result.core_limit = [this](const std::string&) { return core_limit; };
+    result.rent_for_gangs = [this](const std::vector<planner::Offer>&) { ++plans; };
+    result.note_overload = [this](double wanted, double lacking) { overload = {wanted, lacking}; };
+    result.drain = [this](model::Machine& machine, const std::string& reason) {
+      machine.draining = true;
+      machine.drain_reason = reason;
+      fleet.refresh(machine);
+    };
+    result.use_again = [this](model::Machine& machine, const std::string& reason) {
+      if (machine.drain_reason != reason) return false;
+      machine.draining = false;
+      machine.drain_reason.clear();
+      fleet.refresh(machine);
+      return true;
+    };
+    result.count_event = [this](const std::string& event) { ++events[event]; };
+    return result;
+  }
+
+  static wire::Flavor make_type(const std::string& name, double cores, double rate, double boot_s) {
+    wire::Flavor type;
+    type.name = name;
+    type.size = {cores, 0, 4 * cores};
+    type.rate = rate;
+    type.low_price = rate / 4;
+    type.boot_s = boot_s;
+    type.rack_rooms = {"a"};
+    return type;
+  }
+
+  // Of four cores a task, so that the large type serves it best.
+  model::Job& add_job(std::uint32_t tasks, bool preemptible = false) {
+    const wire::JobId id{"job-" + std::to_string(jobs.size())};
+    auto& job = jobs[id];
+    job.spec.uid = id;
+    job.spec.owner = "red";
+    job.spec.members = tasks;
+    job.spec.need = {4, 0, 1};
+    job.spec.guess_s = 100;
+    job.spec.reclaimable = preemptible;
+    job.accepted_at = job.ready_at = loop.wall();
+    job.reset_marks();
+    live_jobs.emplace(id, &job);
+    queue.came(job);
+    queue.enter(job);
+    return job;
+  }
+
+  model::Machine& add_machine(const std::string& machine_type, bool preemptible) {
+    auto& machine = *fleet.add({"n-" + std::to_string(fleet.size())}).first;
+    machine.flavor = machine_type;
+    machine.rack_room = "a";
+    machine.reclaimable = preemptible;
+    machine.size = rental_ports().machine_type(machine_type)->size;
+    machine.first_seen = machine.idle_since = loop.now();
+    machine.up = machine.recorded = machine.confirmed = true;
+    fleet.refresh(machine);
+    return machine;
+  }
+
+  void plan() {
+    autoscaler.plan_soon();
+    loop.advance(1);
+  }
+
+  ManualLoop loop;
+  runtime::Log log =
+      std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::null_sink_mt>());
+  std::vector<wire::Flavor> machine_types = {make_type("small", 4, 1, 40), make_type("large", 16, 3.6, 60)};
+  std::map<wire::JobId, model::Job> jobs;
+  std::map<wire::JobId, model::Job*> live_jobs;
+  model::Fleet fleet;
+
+  bool may_act = true;
+  bool may_start = true;
+  bool quota_allows = true;
+  bool is_gang = false;
+  std::optional<double> core_limit;
+
+  std::vector<Request> requests;
+  std::vector<std::string> request_zones;
+  std::vector<wire::HostId> terminating;
+  std::map<std::string, int> events;
+  Overload overload;
+  int plans = 0;
+
+  queue::Queue queue{{3, 15, {}, {}, 240, 0.5},
+                     {[](const model::Job&) { return true; }, [](const model::Job&) { return true; },
+                      [](const model::Job&) { return queue::Deadline{}; }}};
+  RentalManager rentals{loop, log, {3, 15, 40, 5, 1000, ""}, fleet, rental_ports()};
+  Autoscaler autoscaler{
+      loop, log, {3, 15, 0.8, 0.1, 2.5}, {machine_types, live_jobs, queue, fleet, rentals}, ports()};
+};
+
+TEST_F(AutoscalerTest, PlansNothingWhileItMayNotAct) {
+  add_job(8);
+  may_act = false;
+  plan();
+  EXPECT_EQ(plans, 0);
+  EXPECT_TRUE(requests.empty());
+}
+
+TEST_F(AutoscalerTest, PlansNothingUntilTheCatalogueIsKnown) {
+  add_job(8);
+  machine_types.clear();
+  plan();
+  EXPECT_EQ(plans, 0);
+}
+
+TEST_F(AutoscalerTest, LeavesAPauseBetweenPlans) {
+  autoscaler.plan_soon();
+  loop.advance(0);
+  EXPECT_EQ(plans, 1);
+  autoscaler.plan_soon();
+  autoscaler.plan_soon();
+  loop.advance(0.8);
+  EXPECT_EQ(plans, 1);
+  loop.advance(0.2);
+  EXPECT_EQ(plans, 2);
+  loop.advance(10);
+  EXPECT_EQ(plans, 2);
+}
+
+TEST_F(AutoscalerTest, RentsSteadyMachinesForWorkThatNeedsThem) {
+  add_job(8);
+  plan();
+  EXPECT_EQ(requests, (std::vector<Request>{{"large", 2, false}}));
+  EXPECT_EQ(overload.wanted, 32);
+  EXPECT_EQ(overload.lacking, 0);
+}
+
+TEST_F(AutoscalerTest, RentsPreemptibleMachinesForWorkThatAllowsThem) {
+  add_job(8, true);
+  plan();
+  EXPECT_EQ(requests, (std::vector<Request>{{"large", 2, true}}));
+}
+
+TEST_F(AutoscalerTest, CountsMachinesThatAreThereOrRequested) {
+  add_machine("small", false);
+  add_job(8);
+  plan();
+  EXPECT_EQ(requests, (std::vector<Request>{{"small", 7, false}}));  // for 28 cores
+  plan();
+  EXPECT_EQ(requests.size(), 1U);
+}
+
+TEST_F(AutoscalerTest, RentsWhatCoversTheRestAtTheLeastCost) {
+  add_machine("large", false);
+  add_machine("small", false);
+  add_machine("small", false);
+  add_job(8);
+  plan();
+  EXPECT_EQ(requests, (std::vector<Request>{{"small", 2, false}}));
+}
+
+TEST_F(AutoscalerTest, TellsWhatCannotBeHad) {
+  for (auto& type : machine_types) type.rack_rooms.clear();
+  add_job(8);
+  plan();
+  EXPECT_TRUE(requests.empty());
+  EXPECT_EQ(overload.wanted, 32);
+  EXPECT_EQ(overload.lacking, 32);
+}
+
+TEST_F(AutoscalerTest, RentsNoMoreThanATeamMayUse) {
+  core_limit = 8;
+  add_job(8);
+  add_job(8);
+  plan();
+  EXPECT_EQ(requests, (std::vector<Request>{{"large", 1, false}}));
+}
+
+TEST_F(AutoscalerTest, RentsNothingForWorkThatIsBlocked) {
+  add_job(8).blocked_until = loop.now() + 100;
+  add_job(8).released = false;
+  may_start = false;
+  plan();
+  EXPECT_TRUE(requests.empty());
+}
+
+TEST_F(AutoscalerTest, AvoidsAPreemptibleTypeThatIsReclaimedOften) {
+  add_machine("large", true);
+  autoscaler.advance(1000, 1);
+  for (int i = 0; i < 10; ++i) autoscaler.machine_reclaimed("large");
+  add_job(8, true);
+  plan();
+  EXPECT_EQ(requests, (std::vector<Request>{{"small", 4, true}}));
+}
+
+TEST_F(AutoscalerTest, UsesAPreemptibleTypeAgainOnceReclaimsAreForgotten) {
+  add_machine("large", true);
+  autoscaler.advance(1000, 1);
+  for (int i = 0; i < 10; ++i) autoscaler.machine_reclaimed("large");
+  autoscaler.advance(1000, 0.001);
+  add_job(8, true);
+  plan();
+  EXPECT_EQ(requests, (std::vector<Request>{{"large", 1, true}}));
+}
+
+TEST_F(AutoscalerTest, RentsSteadyMachinesWhereNoPreemptibleTypeMayBeUsedAndWorkWaits) {
+  add_machine("large", true);
+  add_machine("small", true);
+  autoscaler.advance(1000, 1);
+  for (int i = 0; i < 10; ++i) {
+    autoscaler.machine_reclaimed("large");
+    autoscaler.machine_reclaimed("small");
+  }
+  add_job(8, true);
+  plan();
+  EXPECT_EQ(requests, (std::vector<Request>{{"small", 3, false}}));
+  EXPECT_EQ(overload.wanted, 32);
+  EXPECT_EQ(overload.lacking, 0);
+}
+
+TEST_F(AutoscalerTest, ReservesRoomForServicesToCome) {
+  model::Job service;
+  service.spec.shape = wire::Shape::daemon;
+  service.spec.need = {4, 0, 1};
+  service.spec.members = 60;
+  service.accepted_at = loop.wall();
+  autoscaler.service_accepted(service);
+  EXPECT_EQ(autoscaler.reserved_cores(), 0);
+  plan();
+  // 240 cores in four boot times of the slowest type: one a second, and whole tasks of six seconds.
+  EXPECT_EQ(autoscaler.reserved_cores(), 4);
+  EXPECT_EQ(requests, (std::vector<Request>{{"large", 1, false}}));
+  loop.advance(300);
+  plan();
+  EXPECT_EQ(autoscaler.reserved_cores(), 0);
+}
+
+TEST_F(AutoscalerTest, DrainsSteadyMachinesThatIdlePreemptibleOnesStandInFor) {
+  auto& first = add_machine("large", false);
+  auto& second = add_machine("large", false);
+  add_machine("large", true);
+  loop.advance(100);
+  plan();
+  autoscaler.drain_if_excess(first);
+  autoscaler.drain_if_excess(second);
+  EXPECT_TRUE(first.draining);
+  EXPECT_FALSE(second.draining);
+  EXPECT_EQ(events["machines surplus"], 1);
+  // What is drained already counts against the idle ones.
+  plan();
+  autoscaler.drain_if_excess(second);
+  EXPECT_FALSE(second.draining);
+}
+
+TEST_F(AutoscalerTest, DrainsNoMachineThatServesServicesOrIsNew) {
+  auto& serving = add_machine("large", false);
+  auto& kept = add_machine("large", false);
+  auto& preemptible = add_machine("large", true);
+  for (int i = 0; i < 3; ++i) add_machine("large", true);
+  serving.service_cores = 1;
+  kept.kept.cores = 1;
+  loop.advance(100);
+  auto& recent = add_machine("large", false);
+  plan();
+  for (auto* machine : {&serving, &kept, &preemptible, &recent}) {
+    autoscaler.drain_if_excess(*machine);
+    EXPECT_FALSE(machine->draining);
+  }
+}
+
+TEST_F(AutoscalerTest, DrainsNothingWhileThePlanWantsIt) {
+  auto& machine = add_machine("large", false);
+  add_machine("large", true);
+  loop.advance(100);
+  add_job(4);
+  plan();
+  autoscaler.drain_if_excess(machine);
+  EXPECT_FALSE(machine.draining);
+}
+
+TEST_F(AutoscalerTest, UsesDrainedMachinesAgainBeforeItRents) {
+  auto& machine = add_machine("large", false);
+  add_machine("large", true);
+  loop.advance(100);
+  plan();
+  autoscaler.drain_if_excess(machine);
+  ASSERT_TRUE(machine.draining);
+  add_job(4);
+  plan();
+  EXPECT_FALSE(machine.draining);
+  EXPECT_EQ(machine.idle_since, loop.now());
+  EXPECT_TRUE(requests.empty());
+  EXPECT_EQ(events["surplus machines wanted again"], 1);
+}
+
+TEST_F(AutoscalerTest, ForgetsDrainedMachinesThatAreGone) {
+  auto& machine = add_machine("large", false);
+  add_machine("large", true);
+  loop.advance(100);
+  plan();
+  autoscaler.drain_if_excess(machine);
+  ASSERT_TRUE(machine.draining);
+  const auto machine_id = machine.host;
+  autoscaler.machine_terminated(machine_id);
+  fleet.erase(machine_id);
+  add_job(4);
+  plan();
+  EXPECT_EQ(requests, (std::vector<Request>{{"large", 1, false}}));
+}
+
+// The plan's cores are there, and none of them can be used for the job.
+class StrandedJobTest : public AutoscalerTest {
+ protected:
+  StrandedJobTest() {
+    machine.used = machine.size;
+    fleet.refresh(machine);
+  }
+  model::Machine& machine = add_machine("large", false);
+  model::Job& job = add_job(1);
+};
+
+TEST_F(StrandedJobTest, EarnsTheSmallestMachineThatHoldsATask) {
+  add_job(1);  // earns no other of the same type
+  plan();
+  EXPECT_EQ(requests, (std::vector<Request>{{"small", 1, false}}));
+  plan();  // that one is on its way
+  EXPECT_EQ(requests.size(), 1U);
+}
+
+TEST_F(StrandedJobTest, EarnsAMachineInItsZone) {
+  for (auto& type : machine_types) type.rack_rooms = {"a", "b"};
+  job.spec.rack_room = "b";
+  plan();
+  EXPECT_EQ(requests, (std::vector<Request>{{"small", 1, false}}));
+  EXPECT_EQ(request_zones, std::vector<std::string>{"b"});
+}
+
+TEST_F(StrandedJobTest, EarnsNoneWhereAMachineHasRoom) {
+  machine.used = {12, 0, 12};
+  fleet.refresh(machine);
+  plan();
+  EXPECT_TRUE(requests.empty());
+  // Unless its tasks failed there.
+  job.failed_on.insert(machine.host);
+  plan();
+  EXPECT_EQ(requests.size(), 1U);
+}
+
+TEST_F(StrandedJobTest, EarnsNoneWhileItMayNotStart) {
+  may_start = false;
+  plan();
+  may_start = true;
+  quota_allows = false;
+  plan();
+  quota_allows = true;
+  is_gang = true;
+  plan();
+  EXPECT_TRUE(requests.empty());
+}
+
+TEST_F(StrandedJobTest, EarnsNoneWhileItsCutoffIsFar) {
+  job.cutoff = loop.wall() + 100'000;
+  plan();
+  EXPECT_TRUE(requests.empty());
+  job.cutoff = loop.wall() + 200;  // less than a boot and the run with the reserve
+  plan();
+  EXPECT_EQ(requests.size(), 1U);
+}
+
+TEST_F(AutoscalerTest, ReturnsAMachineThatIsIdleForLongerThanABootIsWorth) {
+  auto& steady = add_machine("large", false);
+  auto& preemptible = add_machine("large", true);
+  loop.advance(59);
+  EXPECT_FALSE(autoscaler.terminate_if_idle(steady));  // the cloud charges a minute in any case
+  loop.advance(1);
+  EXPECT_TRUE(autoscaler.terminate_if_idle(steady));
+  EXPECT_EQ(terminating, std::vector<wire::HostId>{steady.host});
+  EXPECT_FALSE(autoscaler.terminate_if_idle(preemptible));
+  loop.advance(89);
+  EXPECT_FALSE(autoscaler.terminate_if_idle(preemptible));
+  loop.advance(1);
+  EXPECT_TRUE(autoscaler.terminate_if_idle(preemptible));
+}
+
+TEST_F(AutoscalerTest, KeepsMachinesThatAreUsedOrKeptForATask) {
+  auto& busy = add_machine("large", false);
+  auto& kept = add_machine("large", false);
+  busy.binds.emplace(wire::MemberId{{"job-1"}, 0}, model::Bind{});
+  kept.kept.cores = 1;
+  loop.advance(1000);
+  EXPECT_FALSE(autoscaler.terminate_if_idle(busy));
+  EXPECT_FALSE(autoscaler.terminate_if_idle(kept));
+}
+
+}  // namespace
+}  // namespace bankhill::leader
