--- a/src/leader/fleet.cpp
+++ b/src/leader/fleet.cpp
@@ -1,4 +1,4 @@
-// Rentals and releases: rounds (the paper's Algorithm 3), silent machines, the cloud's list.
+// The fleet: cutoffs ahead, machines that are drained, silent or gone, and what renting needs of the leader.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -12,111 +12,12 @@
 using queue::task_s;
 
 namespace {
-constexpr double kWindowShare = 0.5;  // of the time left until a job is due
-constexpr double kRounding = 1e-6;
-constexpr double kDemandBoots = 4;   // boot times over which arrivals are averaged
-constexpr double kReservePaces = 2;  // services that come within this find room
-constexpr double kPlanGap = 0.3;     // between two plans made on events
-constexpr int kRentalsAtOnce = 8;
-const std::string kSurplus = "more than planned";
-constexpr double kLeastChargeS = 60;        // the protocol: a machine that is deleted costs at least this
-constexpr double kGoneKeptLeases = 90;      // copies of reports come for several leases after their machines
-constexpr double kMinReclaimHistory = 600;  // machine seconds below which the reclaim share is unknown
+constexpr double kMemory = 4;  // rounds after which a boot or a reclaim counts a third: a wave passes
 }  // namespace
 
-void Leader::plan_soon() {
-  if (plan_scheduled_) return;
-  plan_scheduled_ = true;
-  const double wait = std::max(0.0, last_plan_ + kPlanGap * settings_.pace_s - loop().now());
-  plan_timer_ = loop().after(wait, guard([this] {
-                               plan_scheduled_ = false;
-                               plan_fleet();
-                             }));
-}
-
 // What is left, after so many seconds, of something counted.
 double Leader::kept(double passed) const { return model::decay(passed, settings_.round_s); }
 
-// Reclaims are forgotten after some rounds. Counted for good, one wave kept every spot type above phi for the
-// rest of the reign: alpha's budget stayed unspent and work waited (days/ops-boots-slow).
-void Leader::age_reclaims(double passed) {
-  const double rest = kept(passed);
-  for (const auto& [pool, state] : fleet_.pools())
-    if (pool.reclaimable) reclaims_[pool.flavor].machine_s += passed * static_cast<double>(state.sums.up);
-  for (auto& [flavor, reclaims] : reclaims_) {
-    reclaims.count *= rest;
-    reclaims.machine_s *= rest;
-  }
-}
-
-bool Leader::reclaim_share_allows(const std::string& flavor) const {
-  const auto found = reclaims_.find(flavor);
-  if (found == reclaims_.end() || found->second.machine_s < kMinReclaimHistory) return true;
-  double task_seconds = 0;
-  double tasks = 0;
-  for (const auto& [id, job] : live_)
-    if (!job->service()) {
-      task_seconds += task_s(*job) * job->spec.members;
-      tasks += job->spec.members;
-    }
-  if (tasks == 0) return true;
-  // The share of tasks that a reclaim would hit stands in for the paper's out-of-bid probability.
-  return found->second.count / found->second.machine_s * (task_seconds / tasks) < settings_.phi;
-}
-
-std::vector<planner::Work> Leader::current_work(bool& waiting) {
-  std::vector<planner::Work> work;
-  std::map<std::string, double> cores;
-  for (const auto& [id, pointer] : live_) {
-    const auto& job = *pointer;
-    if (!job.released || loop().now() < job.blocked_until) continue;
-    planner::Work item;
-    item.need = job.spec.need;
-    item.tasks = std::max(0.0, 1.0 * job.unfinished() - (job.ready - placeable(job)));
-    item.task_s = std::max(1.0, task_s(job));
-    // The period in which the work should be done. Estimates are often wrong by half: part of the time
-    // that is left is kept in reserve.
-    item.window_s = std::max(item.task_s, kWindowShare * queue_.due_in(job, loop().wall()));
-    if (std::isinf(item.window_s)) item.window_s = item.task_s;
-    item.service = job.service();
-    item.reclaimable = job.spec.reclaimable;
-    item.flavors = job.spec.flavors;
-    item.rack_room = job.spec.rack_room;
-    if (const auto* owner = team(job.spec.owner)) {
-      // Tasks beyond the team's limit cannot run at the same time.
-      auto& used = cores[job.spec.owner];
-      item.tasks =
-          std::min(item.tasks, std::max(0.0, std::floor((owner->limit.cores - used) / item.need.cores)));
-      used += item.tasks * item.need.cores;
-    }
-    if (placeable(job) > 0) waiting = true;
-    if (item.tasks > 0) work.push_back(std::move(item));
-  }
-  reserve_cores_ = service_reserve();
-  if (reserve_cores_ > 0) {
-    planner::Work reserve;
-    reserve.need.cores = largest_service_;
-    reserve.tasks = reserve_cores_ / largest_service_;
-    reserve.task_s = reserve.window_s = 1;
-    reserve.service = true;
-    work.push_back(std::move(reserve));
-  }
-  return work;
-}
-
-// Work for a far cutoff that some machine will take goes by the plan alone, which spreads it. Earning a
-// machine whenever all were busy, it had as many within minutes as without a calendar, steady ones at that.
-bool Leader::can_take_its_time(const model::Job& job) const {
-  if (!queue_.cutoff(job) || !job.failed_on.empty()) return false;
-  const double due = queue_.due_in(job, loop().wall());
-  if (std::isinf(due) || kWindowShare * due < task_s(job) + longest_boot_s()) return false;
-  return std::any_of(fleet_.pools().begin(), fleet_.pools().end(), [&](const auto& entry) {
-    const auto& [pool, state] = entry;
-    return state.sums.up + state.sums.coming > 0 && model::allows(job.spec, pool) &&
-           job.spec.need.fits(state.size);
-  });
-}
-
 // How the cutoffs stand, once a round: whoever comes at eight finds either the work done or a plain stall.
 void Leader::look_ahead() {
   outlook_.begin(loop().wall());
@@ -148,149 +49,7 @@
   const double limit = std::max(0.0, tenant->limit.cores - usage.service_cores);
   const double own = std::max(std::min(tenant->guarantee.cores, cores), usage.used.cores + free);
   const double now = std::min(limit, std::max(0.0, own - usage.service_cores));
-  return {now, queue_.overloaded() ? now : limit, longest_boot_s()};
-}
-
-double Leader::longest_boot_s() const {
-  double longest = 0;
-  for (const auto& type : flavors_) longest = std::max(longest, type.boot_s);
-  return longest;
-}
-
-// Cores of services accepted lately, a second.
-double Leader::service_rate() {
-  const double window = kDemandBoots * std::max(1.0, longest_boot_s());
-  const double since = loop().wall() - window;
-  for (; !arrivals_.empty() && arrivals_.begin()->first < since; arrivals_.erase(arrivals_.begin()))
-    arrived_ -= arrivals_.begin()->second;
-  if (arrivals_.empty()) arrived_ = 0;
-  return arrived_ / window;
-}
-
-// A service starts at once only where room and image are at hand: about what comes within a short while.
-double Leader::service_reserve() {
-  const double rate = service_rate();
-  if (rate <= 0 || largest_service_ <= 0) return 0;
-  return largest_service_ *
-         std::floor(rate * kReservePaces * settings_.pace_s / largest_service_ + kRounding);
-}
-
-void Leader::plan_fleet() {
-  if (!valid() || flavors_.empty()) return;
-  last_plan_ = loop().now();
-  std::vector<planner::Offer> offers;
-  for (const auto& flavor : flavors_) offers.push_back({flavor, reclaim_share_allows(flavor.name)});
-  bool waiting = false;
-  const auto work = current_work(waiting);
-  const auto plan = planner::plan(work, offers, settings_.alpha);
-  top_up(plan, offers, waiting);
-}
-
-void Leader::top_up(const planner::Plan& plan, const std::vector<planner::Offer>& offers, bool waiting) {
-  // What is wanted and what is there, in cores of each kind: a machine of another type does as well.
-  double wanted[2] = {0, 0};
-  for (std::size_t i = 0; i < offers.size(); ++i) {
-    wanted[0] += plan.steady[i] * offers[i].flavor.size.cores;
-    wanted[1] += (plan.spot[i] + plan.avoided[i]) * offers[i].flavor.size.cores;
-  }
-  double there[2] = {0, 0};
-  for (const auto& [pool, state] : fleet_.pools()) there[pool.reclaimable ? 1 : 0] += state.sums.cores;
-  for (const auto& [name, rental] : rentals_)
-    if (const auto* type = flavor(rental.record.flavor); type != nullptr && !rental.record.hosts)
-      there[rental.record.reclaimable ? 1 : 0] += type->size.cores * rental.record.count;
-  double missing[2] = {wanted[0] - there[0], wanted[1] - there[1]};
-  log_->debug("plan: {:.0f} steady and {:.0f} spot cores wanted, {:.0f} and {:.0f} there or coming{}",
-              wanted[0], wanted[1], there[0], there[1], waiting ? ", work waits" : "");
-  // Whatever covers what is missing at the least cost: a machine much larger than that would stand idle for
-  // the most part. What a type cannot give is asked of the next.
-  for (const bool spot : {true, false}) {
-    double& lack = missing[spot ? 1 : 0];
-    if (!spot) recall_surplus(lack);
-    std::vector<std::size_t> left;
-    for (std::size_t i = 0; i < offers.size(); ++i)
-      if (!spot || offers[i].spot_allowed) left.push_back(i);
-    while (lack > kRounding && !left.empty()) {
-      const auto cover = [&](std::size_t i) {
-        const auto& flavor = offers[i].flavor;
-        return std::ceil(lack / flavor.size.cores - kRounding) * (spot ? flavor.low_price : flavor.rate);
-      };
-      const auto best = std::min_element(left.begin(), left.end(),
-                                         [&](std::size_t x, std::size_t y) { return cover(x) < cover(y); });
-      const auto& offer = offers[*best];
-      lack -=
-          rent(offer, spot, std::ceil(lack / offer.flavor.size.cores - kRounding)) * offer.flavor.size.cores;
-      left.erase(best);
-    }
-    // Exception to the design (its first doubt): alpha's budget that no spot type can take must not stay
-    // unspent while work waits.
-    if (spot && lack > 0 && waiting) missing[0] += lack;
-  }
-  note_overload(wanted[0] + wanted[1], std::max(0.0, missing[0]) + (waiting ? 0 : std::max(0.0, missing[1])));
-  spare_steady(missing[0]);
-  // Ready work that no machine can take earns its type at least one machine.
-  std::vector<bool> earned(offers.size(), false);
-  for (const auto& [id, pointer] : queue_.jobs()) {
-    const auto& job = *pointer;
-    if (missing[0] > 0 || missing[1] > 0) break;
-    if (replicas_.follows(id) || !may_start(job) || !team_has_room(job) || can_take_its_time(job)) continue;
-    const bool coming = std::any_of(fleet_.pools().begin(), fleet_.pools().end(), [&](const auto& entry) {
-      const auto& [pool, state] = entry;
-      if (!model::allows(job.spec, pool)) return false;
-      if (state.sums.coming + state.sums.joining > 0 && job.spec.need.fits(state.size)) return true;
-      // A machine that its tasks failed on takes no more of it: where all have, it waited for ever.
-      const auto* roomiest = state.open.empty() ? nullptr : state.open.rbegin()->machine;
-      return roomiest != nullptr && job.spec.need.fits(roomiest->room()) &&
-             !job.failed_on.contains(roomiest->host);
-    });
-    if (coming) continue;
-    planner::Work item;
-    item.need = job.spec.need;
-    item.flavors = job.spec.flavors;
-    item.rack_room = job.spec.rack_room;
-    const auto type = planner::preferred(item, offers);
-    if (!type || earned[*type]) continue;
-    earned[*type] = true;
-    if (std::any_of(rentals_.begin(), rentals_.end(),
-                    [](const auto& entry) { return !entry.second.record.hosts; }))
-      continue;
-    // Smallest type that holds it, since one task is all that is known to need it.
-    std::size_t smallest = *type;
-    for (std::size_t i = 0; i < offers.size(); ++i)
-      if (planner::slots(item.need, offers[i].flavor.size) >= 1 &&
-          planner::allows(item.flavors, offers[i].flavor.name) &&
-          offers[i].flavor.rate < offers[smallest].flavor.rate)
-        smallest = i;
-    // Elsewhere none is of use to it.
-    rent(offers[smallest], false, 1, job.spec.rack_room.value_or(""));
-  }
-  rent_for_replicas(offers);
-}
-
-// Steady machines beyond the plan's count take no more batches and are returned once empty: "steady first"
-// keeps them busy for ever, at four times the price, while spot machines paid for stand idle. Only as many as
-// idle spot machines can stand in for: else their rooms stay empty while work waits. A machine with services
-// stays.
-void Leader::spare_steady(double missing) {
-  double idle_spot = 0;
-  for (const auto& [pool, state] : fleet_.pools())
-    if (pool.reclaimable) idle_spot += state.sums.free_cores;
-  for (const auto& host : surplus_) {
-    const auto* machine = fleet_.peek(host);
-    if (!machine->releasing) idle_spot -= machine->size.cores;
-  }
-  spare_cores_ = std::max(0.0, std::min(-missing, idle_spot));
-}
-
-// Machines on their way out are wanted again: they are there at once.
-void Leader::recall_surplus(double& missing) {
-  while (missing > kRounding && !surplus_.empty()) {
-    auto* machine = fleet_.find(*surplus_.begin());
-    surplus_.erase(surplus_.begin());
-    if (machine->releasing || !use_again(*machine, kSurplus)) continue;
-    machine->idle_since = loop().now();
-    missing -= machine->size.cores;
-    ++tally_["surplus machines wanted again"];
-  }
+  return {now, queue_.overloaded() ? now : limit, planner::longest_boot_s(flavors_)};
 }
 
 // Takes no more tasks, and is returned once empty.
@@ -312,159 +71,6 @@
   return true;
 }
 
-void Leader::spare(Machine& machine) {
-  if (machine.reclaimable || machine.size.cores > spare_cores_ || machine.service_cores > 0 ||
-      machine.kept.cores > 0)
-    return;
-  if (!machine.takes_tasks() || loop().now() - machine.first_seen < kLeastChargeS) return;
-  spare_cores_ -= machine.size.cores;
-  drain(machine, kSurplus);
-  surplus_.insert(machine.host);
-  ++tally_["machines surplus"];
-}
-
-// Machines that may be rented before the fleet is as large as the controllers can take the reports of: a
-// fleet beyond that would not be served worse, but not at all.
-double Leader::carried_room() {
-  const auto& total = fleet_.total();
-  double there = static_cast<double>(total.up + total.coming);
-  for (const auto& [name, rental] : rentals_)
-    if (!rental.record.hosts) there += rental.record.count;
-  const double room = static_cast<double>(settings_.most_machines) - there;
-  const bool full = room < 1;
-  if (full && !at_most_machines_)
-    log_->warn("fleet: {:.0f} machines are all that these controllers' sockets can serve; renting no more",
-               there);
-  if (!full && at_most_machines_) log_->info("fleet: below what these controllers can serve again");
-  at_most_machines_ = full;
-  return std::max(0.0, room);
-}
-
-double Leader::rent(const planner::Offer& offer, bool reclaimable, double count, const std::string& zone) {
-  count = std::min(count, carried_room());
-  if (count < 1) return 0;
-  std::vector<std::string> zones;
-  for (const auto& each : offer.flavor.rack_rooms) {
-    if (!zone.empty() && each != zone) continue;
-    if (stockouts_.may_ask({offer.flavor.name, each, reclaimable}, loop().now())) zones.push_back(each);
-  }
-  if (zones.empty()) return 0;
-  if (!reclaimable && std::find(zones.begin(), zones.end(), settings_.main_zone) != zones.end()) {
-    // Services stand on steady machines. A cut between the zones, or of the smaller one, takes those that are
-    // not where the leader will be: steady machines are rented there as long as there are any.
-    zones = {settings_.main_zone};
-  } else {
-    // Evenly over the zones, beginning with the one that has the fewest.
-    std::map<std::string, double> have;
-    for (const auto& [pool, state] : fleet_.pools()) have[pool.rack_room] += state.sums.cores;
-    std::sort(zones.begin(), zones.end(),
-              [&](const std::string& a, const std::string& b) { return have[a] < have[b]; });
-  }
-  double asked = 0;
-  for (std::size_t i = 0; i < zones.size(); ++i) {
-    double share = std::ceil((count - asked) / static_cast<double>(zones.size() - i));
-    // The cloud gives so many a request, and so many requests at a time are enough to see whether it has
-    // them. One that had none is asked once, to see whether it has some again: eight refusals for each of its
-    // types used up the cloud's requests, and hid from the plan that others must be rented.
-    const bool doubtful = stockouts_.doubtful({offer.flavor.name, zones[i], reclaimable});
-    for (int request = 0; request < (doubtful ? 1 : kRentalsAtOnce) && share >= 1; ++request) {
-      const std::string name = rental_prefix() + std::to_string(++rentals_made_);
-      auto& rental = rentals_[name];
-      rental.record = {
-          offer.flavor.name, zones[i],
-          reclaimable,       static_cast<std::uint32_t>(std::min<double>(share, cloud::kMaxRental)),
-          loop().wall(),     std::nullopt};
-      asked += rental.record.count;
-      share -= rental.record.count;
-      log_->info("rental {}: {} x {} in {}{}", name, rental.record.count, offer.flavor.name, zones[i],
-                 reclaimable ? ", spot" : "");
-      rental.asking = true;
-      // Invariant 3: stored before it is requested.
-      store(wire::rental_key(name), to_json(rental.record), Patience::none, [this, name] { ask(name); });
-    }
-  }
-  return asked;
-}
-
-// Of the names of this reign's rentals.
-std::string Leader::rental_prefix() const { return "r-" + std::to_string(first_term_) + "-"; }
-
-void Leader::ask(const std::string& name) {
-  const auto found = rentals_.find(name);
-  if (found == rentals_.end() || !valid()) {
-    if (found != rentals_.end()) found->second.asking = false;
-    return;
-  }
-  found->second.asking = true;
-  ports_.cloud.tell(cloud::Rent{name, found->second.record,
-                                guard([this, name, reign = first_term_](const cloud::Rented& result) {
-                                  if (reigning_ && reign == first_term_) rented(name, result);
-                                })});
-}
-
-void Leader::rented(const std::string& name, const cloud::Rented& result) {
-  const auto found = rentals_.find(name);
-  if (found == rentals_.end()) return;
-  auto& rental = found->second;
-  rental.asking = false;
-  rental.retry_at = loop().now() + settings_.pace_s / 2;
-  if (result.kind == cloud::Rented::Kind::trouble) return;
-  const Pool pool{rental.record.flavor, rental.record.rack_room, rental.record.reclaimable};
-  if (result.kind == cloud::Rented::Kind::no_capacity || result.hosts.size() < rental.record.count) {
-    stockouts_.note(pool, loop().now(), settings_.round_s);
-    log_->info("rental {}: {} of {} to be had", name, result.hosts.size(), rental.record.count);
-    plan_soon();
-  } else {
-    stockouts_.over(pool);
-  }
-  if (result.hosts.empty()) {
-    rentals_.erase(found);
-    store(wire::rental_key(name), std::nullopt, Patience::tidying);
-    return;
-  }
-  rental.record.hosts.emplace();
-  for (const auto& host : result.hosts) rental.record.hosts->push_back(host.value);
-  store(wire::rental_key(name), to_json(rental.record), Patience::machines);
-  // At once: until its machines are known the rental counts neither as asked for nor as there, and a plan
-  // made in between rented all of them once more.
-  settle_rentals();
-}
-
-void Leader::settle_rentals() {
-  const double now = loop().now();
-  std::vector<std::string> over;
-  for (auto& [name, rental] : rentals_) {
-    if (!rental.record.hosts) {
-      // A new leader repeats open rentals to learn their hosts.
-      if (!rental.asking && now >= rental.retry_at && valid()) ask(name);
-      continue;
-    }
-    bool pending = false;
-    const bool ours = name.starts_with(rental_prefix());
-    for (const auto& text : *rental.record.hosts) {
-      const wire::HostId host{text};
-      if (gone_.contains(host)) continue;
-      const auto [entry, added] = fleet_.add(host);
-      auto& machine = *entry;
-      if (added) {
-        machine.flavor = rental.record.flavor;
-        machine.rack_room = rental.record.rack_room;
-        machine.reclaimable = rental.record.reclaimable;
-        machine.first_seen = now;
-        set_size(machine);
-        fleet_.refresh(machine);
-      }
-      machine.fresh = machine.fresh || ours;
-      if (!machine.recorded) pending = true;
-    }
-    if (!pending) over.push_back(name);
-  }
-  for (const auto& name : over) {
-    rentals_.erase(name);
-    store(wire::rental_key(name), std::nullopt, Patience::tidying);
-  }
-}
-
 void Leader::watch_machines(double share) {
   const double now = loop().now();
   doubtful_ = false;
@@ -481,7 +87,7 @@
 
 double Leader::boot_s(const Machine& machine) const {
   const auto* type = flavor(machine.flavor);
-  return type == nullptr ? kLeastChargeS : type->boot_s;
+  return type == nullptr ? cloud::kLeastChargeS : type->boot_s;
 }
 
 MachineMonitor::Ports Leader::monitor_ports() {
@@ -491,7 +97,7 @@
                           MachineMonitor::Fault fault) { release(machine, MachineMonitor::text(fault)); },
       .drain = [this](Machine& machine, const std::string& reason) { drain(machine, reason); },
       .sessions_over = [this](Machine& machine, wire::Tenure next) { new_tenure(machine, next); },
-      .lost_to_cloud = [this](const Machine& machine) { reclaims_[machine.flavor].count += 1; },
+      .lost_to_cloud = [this](const Machine& machine) { autoscaler_.machine_reclaimed(machine.flavor); },
       .usual_boot_s = [this](const Machine& machine) { return boot_s(machine); },
       .count_event = [this](const std::string& event) { ++tally_[event]; },
       .plan_soon = [this] { plan_soon(); },
@@ -522,96 +128,70 @@
   for (const auto& [task, exited] : machine.leftovers) doubtful_ = doubtful_ || exited.starts.in_doubt(token);
 }
 
-void Leader::release(Machine& machine, const std::string& reason) {
-  if (std::exchange(machine.releasing, true)) return;
-  log_->debug("machine {}: releasing it, {} ({} tasks bound)", machine.host.value, reason,
-              machine.binds.size());
-  ++tally_["machines released (" + reason + ")"];
-  replicas_fail(machine);
-  to_release_.insert(machine.host);
-  fleet_.refresh(machine);
-  loop().post(guard([this] { send_releases(); }));
+RentalManager::Settings Leader::rental_settings() const {
+  return {settings_.pace_s,     settings_.round_s,       settings_.lease_s,
+          settings_.list_lag_s, settings_.most_machines, settings_.main_zone};
 }
 
-void Leader::send_releases() {
-  if (releasing_ || !valid()) return;
-  std::vector<wire::HostId> hosts;
-  for (const auto& host : to_release_)
-    if (hosts.size() < cloud::kMaxRelease) hosts.push_back(host);
-  if (hosts.empty()) return;
-  releasing_ = true;
-  ports_.cloud.tell(cloud::Release{hosts, guard([this, hosts, reign = first_term_](bool done) {
-                                     if (!reigning_ || reign != first_term_) return;
-                                     releasing_ = false;
-                                     if (!done) return;  // the tick tries again
-                                     for (const auto& host : hosts) gone(host);
-                                   })});
+RentalManager::Ports Leader::rental_ports() {
+  RentalManager::Ports ports;
+  ports.may_act = [this] { return valid(); };
+  ports.send_to_cloud = [this](cloud::Cloud::Message message) { ports_.cloud.tell(std::move(message)); };
+  ports.machine_type = [this](const std::string& name) { return flavor(name); };
+  ports.store_request = [this](const std::string& name, const wire::RentalRecord& record, Then stored) {
+    store(wire::rental_key(name), to_json(record), Patience::none, std::move(stored));
+  };
+  ports.store_machines = [this](const std::string& name, const wire::RentalRecord& record) {
+    store(wire::rental_key(name), to_json(record), Patience::machines);
+  };
+  ports.remove_record = [this](const std::string& name) {
+    store(wire::rental_key(name), std::nullopt, Patience::tidying);
+  };
+  ports.terminating = [this](const Machine& machine) { replicas_fail(machine); };
+  ports.terminated = [this](const wire::HostId& machine_id) { forget_machine(machine_id); };
+  ports.plan_soon = [this] { plan_soon(); };
+  ports.count_event = [this](const std::string& event) { ++tally_[event]; };
+  return ports;
+}
+
+Autoscaler::Settings Leader::autoscaler_settings() const {
+  return {settings_.pace_s, settings_.round_s, settings_.alpha, settings_.phi, settings_.idle_boots};
+}
+
+Autoscaler::Ports Leader::autoscaler_ports() {
+  Autoscaler::Ports ports;
+  ports.may_act = [this] { return valid(); };
+  ports.may_start = [this](const model::Job& job) { return may_start(job); };
+  ports.quota_allows = [this](const model::Job& job) { return team_has_room(job); };
+  ports.placeable_tasks = [this](const model::Job& job) { return placeable(job); };
+  ports.is_gang = [this](const wire::JobId& id) { return replicas_.follows(id); };
+  ports.core_limit = [this](const std::string& name) -> std::optional<double> {
+    const auto* owner = team(name);
+    if (owner == nullptr) return std::nullopt;
+    return owner->limit.cores;
+  };
+  ports.rent_for_gangs = [this](const std::vector<planner::Offer>& offers) { rent_for_replicas(offers); };
+  ports.note_overload = [this](double wanted, double lacking) { note_overload(wanted, lacking); };
+  ports.drain = [this](Machine& machine, const std::string& reason) { drain(machine, reason); };
+  ports.use_again = [this](Machine& machine, const std::string& reason) {
+    return use_again(machine, reason);
+  };
+  ports.count_event = [this](const std::string& event) { ++tally_[event]; };
+  return ports;
 }
 
-void Leader::gone(const wire::HostId& host) {
-  const double now = loop().now();
-  to_release_.erase(host);
-  surplus_.erase(host);
-  for (; !gone_order_.empty() && now - gone_order_.front().first > kGoneKeptLeases * settings_.lease_s;
-       gone_order_.pop_front())
-    gone_.erase(gone_order_.front().second);
-  if (gone_.emplace(host, now).second) gone_order_.emplace_back(now, host);
-  auto* machine = fleet_.find(host);
+// It is gone, and so is all that ran there.
+void Leader::forget_machine(const wire::HostId& machine_id) {
+  autoscaler_.machine_terminated(machine_id);
+  auto* machine = fleet_.find(machine_id);
   if (machine == nullptr) return;
-  std::vector<wire::MemberId> members;
-  for (const auto& [member, bind] : machine->binds) members.push_back(member);
-  for (const auto& member : members) unbind(*machine, member);
+  std::vector<wire::MemberId> tasks;
+  for (const auto& [task, assignment] : machine->binds) tasks.push_back(task);
+  for (const auto& task : tasks) unbind(*machine, task);
   forget_record(*machine);
-  fleet_.erase(host);
+  fleet_.erase(machine_id);
   place_soon();
   plan_soon();
 }
 
-void Leader::list_hosts() {
-  // A page costs a request: a large fleet is listed less often.
-  const double pages = 1 + std::floor(static_cast<double>(fleet_.size()) / cloud::kPage);
-  next_list_ = loop().now() + std::max(settings_.list_lag_s, settings_.pace_s) * pages;
-  if (std::exchange(listing_, true)) return;
-  ports_.cloud.tell(
-      cloud::ListHosts{guard([this, reign = first_term_](std::optional<std::vector<wire::ListedHost>> hosts) {
-        if (!reigning_ || reign != first_term_) return;
-        listing_ = false;
-        if (!hosts || !valid()) return;
-        const double now = loop().now();
-        for (const auto& listed : *hosts) {
-          if (gone_.contains(listed.uid)) continue;
-          const auto [entry, added] = fleet_.add(listed.uid);
-          auto& machine = *entry;
-          if (added) {
-            // Rented by a request that came late, or at the start: used or returned like any other.
-            log_->debug("machine {}: listed but unexpected, adding it", listed.uid.value);
-            ++tally_["unexpected machines"];
-            machine.flavor = listed.flavor;
-            machine.rack_room = listed.rack_room;
-            machine.reclaimable = listed.reclaimable;
-            machine.first_seen = now - listed.held_s;
-            set_size(machine);
-            fleet_.refresh(machine);
-          }
-          if (listed.phase == "failed") release(machine, "failed by the cloud's list");
-        }
-      })});
-}
-
-// An idle machine is worth keeping for about as long as another takes to boot, the less the dearer it is.
-double Leader::idle_limit(const Machine& machine) const {
-  const auto* type = flavor(machine.flavor);
-  if (type == nullptr) return settings_.round_s;
-  return settings_.idle_boots * type->boot_s * (machine.reclaimable ? 1 : type->low_price / type->rate);
-}
-
-bool Leader::return_idle(Machine& machine) {
-  const double now = loop().now();
-  if (!machine.takes_tasks() || !machine.binds.empty() || machine.kept.cores > 0) return false;
-  if (now - machine.idle_since < idle_limit(machine) || now - machine.first_seen < kLeastChargeS)
-    return false;
-  release(machine, "idle");
-  return true;
-}
-
 }  // namespace bankhill::leader
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -14,13 +14,14 @@
 
 #include "calendar/outlook.hpp"
 #include "cloud/cloud.hpp"
+#include "leader/autoscaler.hpp"
 #include "leader/machine_monitor.hpp"
 #include "leader/reachability_probe.hpp"
+#include "leader/rental_manager.hpp"
 #include "leader/strangers.hpp"
 #include "model/cancel_budget.hpp"
 #include "model/fleet.hpp"
 #include "model/job.hpp"
-#include "model/stockouts.hpp"
 #include "model/waits.hpp"
 #include "net/http.hpp"
 #include "net/reports.hpp"
@@ -156,15 +157,6 @@
     bool own = false;   // one with room was passed over for a reason that is this task's own
     bool kept = false;  // one was that is kept for another, which only shorter tasks may use
   };
-  struct Rental {
-    wire::RentalRecord record;
-    bool asking = false;
-    double retry_at = 0;
-  };
-  struct Reclaims {
-    double count = 0;
-    double machine_s = 0;
-  };
   using Jobs = std::map<wire::JobId, model::Job>;
   using Pool = model::Pool;
 
@@ -307,40 +299,26 @@
   void replicas_fail(const model::Machine& machine);
 
   // Fleet (fleet.cpp)
-  void plan_soon();
-  void plan_fleet();
-  std::vector<planner::Work> current_work(bool& waiting);
-  double service_rate();
-  double service_reserve();
-  bool can_take_its_time(const model::Job& job) const;
+  void plan_soon() { autoscaler_.plan_soon(); }
+  Autoscaler::Settings autoscaler_settings() const;
+  Autoscaler::Ports autoscaler_ports();
   void look_ahead();
   calendar::Outlook::Supply supply(const std::string& owner) const;
-  double longest_boot_s() const;
-  void top_up(const planner::Plan& plan, const std::vector<planner::Offer>& offers, bool waiting);
-  double rent(const planner::Offer& offer, bool reclaimable, double count, const std::string& zone = "");
-  double carried_room();
-  void spare_steady(double missing);
-  void recall_surplus(double& missing);
-  void spare(model::Machine& machine);
+  void spare(model::Machine& machine) { autoscaler_.drain_if_excess(machine); }
   void drain(model::Machine& machine, const std::string& reason);
   bool use_again(model::Machine& machine, const std::string& reason);
-  std::string rental_prefix() const;
-  void ask(const std::string& name);
-  void rented(const std::string& name, const cloud::Rented& result);
-  void settle_rentals();
+  RentalManager::Settings rental_settings() const;
+  RentalManager::Ports rental_ports();
+  void forget_machine(const wire::HostId& machine_id);
   void watch_machines(double share);
   void watch(model::Machine& machine);
   MachineMonitor::Ports monitor_ports();
   void note_starts_in_doubt(const model::Machine& machine);
   double boot_s(const model::Machine& machine) const;
-  void release(model::Machine& machine, const std::string& reason);
-  void send_releases();
-  void gone(const wire::HostId& host);
-  void list_hosts();
-  bool return_idle(model::Machine& machine);
-  double idle_limit(const model::Machine& machine) const;
-  bool reclaim_share_allows(const std::string& flavor) const;
-  void age_reclaims(double passed);
+  void release(model::Machine& machine, const std::string& reason) {
+    rental_manager_.terminate(machine, reason);
+  }
+  bool return_idle(model::Machine& machine) { return autoscaler_.terminate_if_idle(machine); }
   double kept(double passed) const;
 
   runtime::Log log_;
@@ -356,8 +334,6 @@
       to_cancel_;  // never started, cancelled with one they need: not yet in their records
   std::map<wire::JobId, model::Job*> live_;
   std::deque<wire::JobId> final_order_;
-  std::multimap<double, double> arrivals_;  // cores of services accepted lately, by time of day
-  double arrived_ = 0;                      // their sum
   std::vector<wire::Flavor> flavors_;
   std::uint64_t hold_ = 0;
   double valid_until_ = 0;
@@ -372,20 +348,12 @@
   double reign_since_ = 0;
   double blind_until_ = 0;  // machines of an earlier leader may run tasks unseen: nothing starts before
   std::uint64_t tries_ = 0;
-  std::uint64_t rentals_made_ = 0;
   std::map<std::string, Usage> usage_;
   std::array<double, 4> cores_by_rank_{};  // of tasks bound
   model::Fleet fleet_;
-  std::map<std::string, Rental> rentals_;
-  std::map<wire::HostId, double> gone_;
-  std::deque<std::pair<double, wire::HostId>> gone_order_;
+  RentalManager rental_manager_;
   Strangers strangers_;
-  std::set<wire::HostId> to_release_;
-  std::set<wire::HostId> surplus_;  // steady machines that take no more batches
-  double spare_cores_ = 0;          // of steady machines beyond the plan
-  double reserve_cores_ = 0;        // of steady machines: kept free of batches for services to come
-  double largest_service_ = 0;      // cores of one task
-  double service_cores_ = 0;        // that services use
+  double service_cores_ = 0;  // that services use
   std::map<std::string, Group> groups_;
   std::map<Pool, std::set<std::string>> open_groups_;
   std::map<std::uint64_t, Bucket> buckets_;
@@ -395,6 +363,7 @@
   std::size_t asking_ = 0;
   std::vector<Awaiting> awaiting_;
   queue::Queue queue_;  // of live jobs with tasks to place
+  Autoscaler autoscaler_;
   replicas::Placer replicas_;
   queue::KeptRoom kept_room_;
   queue::MadeRoom made_room_;
@@ -405,8 +374,6 @@
   ReachabilityProbe reachability_probe_;
   MachineMonitor machine_monitor_;
   std::map<std::string, std::uint64_t> tally_;  // of what happened since the last summary in the log
-  model::Stockouts stockouts_;
-  std::map<std::string, Reclaims> reclaims_;
   Batch intents_;
   std::set<std::pair<double, std::string>> due_;  // the keys of intents_ by when they are due
   std::size_t value_bytes_ = 0;                   // that a value may take, less once one was refused
@@ -417,23 +384,15 @@
   bool raising_ = false;
   bool doubtful_ = false;
   double raised_at_ = 0;
-  bool listing_ = false;
-  bool releasing_ = false;
-  bool at_most_machines_ = false;
   double next_round_ = 0;
-  double next_list_ = 0;
   double next_catalogue_ = 0;
   double next_sync_ = 0;
   double next_progress_ = 0;
   double next_summary_ = 0;
-  double next_settle_ = 0;
   double last_tick_ = 0;
-  double last_plan_ = -1e9;
   bool place_scheduled_ = false;
-  bool plan_scheduled_ = false;
   runtime::Timer tick_timer_;
   runtime::Timer place_timer_;
-  runtime::Timer plan_timer_;
   runtime::Timer flush_timer_;
 };
 
--- a/src/leader/reports.cpp
+++ b/src/leader/reports.cpp
@@ -138,9 +138,9 @@
 }
 
 void Leader::welcome(const wire::Report& report) {
-  if (gone_.contains(report.host)) {
+  if (rental_manager_.recently_terminated(report.host)) {
     log_->warn("machine {}: released and still there, releasing it again", report.host.value);
-    to_release_.insert(report.host);
+    rental_manager_.terminate_again(report.host);
     return;
   }
   const auto [machine, added] = fleet_.add(report.host);
@@ -663,7 +663,7 @@
   if (machine.warned_until) return;
   machine.warned_until = now + warning_s;
   drain(machine, "the cloud takes it back");
-  reclaims_[machine.flavor].count += 1;
+  autoscaler_.machine_reclaimed(machine.flavor);
   log_->debug("machine {}: the cloud takes it in {} s, {} tasks", machine.host.value, warning_s,
               machine.binds.size());
   ++tally_["machines warned"];
--- a/tests/manual_loop.hpp
+++ b/tests/manual_loop.hpp
@@ -18,7 +18,7 @@
 class ManualLoop final : public runtime::Loop {
  public:
   double now() const override { return now_; }
-  double wall() const override { return now_; }
+  double wall() const override { return kWallOffset + now_; }
   void post(std::function<void()> work) override { posted_.push_back(std::move(work)); }
   runtime::Timer after(double seconds, std::function<void()> work) override {
     auto armed = std::make_shared<std::function<void()>>(std::move(work));
@@ -27,6 +27,13 @@
   }
   std::mt19937_64& random() override { return random_; }
 
+  void run_posted() {
+    while (!posted_.empty()) {
+      const auto work = std::move(posted_.front());
+      posted_.pop_front();
+      work();
+    }
+  }
   // Runs what is posted and what falls due within this time.
   void pass(double seconds) {
     const double until = now_ + seconds;
@@ -50,13 +57,7 @@
       return std::tie(at, order) > std::tie(other.at, other.order);
     }
   };
-  void run_posted() {
-    while (!posted_.empty()) {
-      const auto work = std::move(posted_.front());
-      posted_.pop_front();
-      work();
-    }
-  }
+  static constexpr double kWallOffset = 1e9;
   double now_ = 100;
   std::uint64_t next_order_ = 0;
   std::deque<std::function<void()>> posted_;
