--- a/src/leader/fleet.cpp
+++ b/src/leader/fleet.cpp
@@ -88,7 +88,7 @@
     item.reclaimable = job.spec.reclaimable;
     item.flavors = job.spec.flavors;
     item.rack_room = job.spec.rack_room;
-    if (const auto* owner = team(job.spec.owner)) {
+    if (const auto* owner = quota_.find_team(job.spec.owner)) {
       // Tasks beyond the team's limit cannot run at the same time.
       auto& used = cores[job.spec.owner];
       item.tasks =
@@ -141,10 +141,9 @@
 
 // Its guarantee, or what it holds and what is free, if that is more; beyond that what can be rented.
 calendar::Outlook::Supply Leader::supply(const std::string& owner) const {
-  const auto* tenant = team(owner);
+  const auto* tenant = quota_.find_team(owner);
   if (tenant == nullptr) return {};
-  const auto found = usage_.find(owner);
-  const auto usage = found == usage_.end() ? Usage{} : found->second;
+  const auto usage = quota_.usage(owner);
   double cores = 0;
   double free = 0;
   for (const auto& [pool, state] : fleet_.pools()) {
@@ -152,7 +151,7 @@
     free += state.sums.free_cores;
   }
   const double limit = std::max(0.0, tenant->limit.cores - usage.service_cores);
-  const double own = std::max(std::min(tenant->guarantee.cores, cores), usage.used.cores + free);
+  const double own = std::max(std::min(tenant->guarantee.cores, cores), usage.total.cores + free);
   const double now = std::min(limit, std::max(0.0, own - usage.service_cores));
   return {now, queue_.overloaded() ? now : limit, longest_boot_s()};
 }
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -33,15 +33,7 @@
 constexpr double kKeptOverdue = 0.25;     // of the time in which the largest should begin
 constexpr std::size_t kKeptMost = 8;      // machines kept at a time, fewer than a task looks at
 
-constexpr double kBoundSteps = 8;  // into which a team's limit is divided (shares/bounds.hpp)
-
 bool has_prefix(const std::string& key, const std::string& prefix) { return key.starts_with(prefix); }
-
-std::map<std::string, wire::Amounts> limits_of(const std::vector<Team>& teams) {
-  std::map<std::string, wire::Amounts> limits;
-  for (const auto& team : teams) limits[team.name] = team.limit;
-  return limits;
-}
 }  // namespace
 
 Leader::Leader(runtime::Loop& loop, runtime::Log log, Settings settings, Ports ports)
@@ -50,11 +42,11 @@
       settings_(std::move(settings)),
       ports_(std::move(ports)),
       reader_(loop, ports_.store),
+      quota_(settings_.teams),
       strangers_(settings_.pace_s, settings_.lease_s, kStrangers),
       queue_(queue_settings(), queue_facts()),
       replicas_({settings_.gang_wait_s, settings_.gang_peer_s, settings_.gang_wait_s}),
-      kept_room_({settings_.pace_s, kKeptOverdue * settings_.begin_within_s, kKeptMost}),
-      bounds_(limits_of(settings_.teams), kBoundSteps) {
+      kept_room_({settings_.pace_s, kKeptOverdue * settings_.begin_within_s, kKeptMost}) {
   value_bytes_ = wire::usable_bytes(settings_.value_kb);
   most_writes_ = settings_.txn_ops;
 }
@@ -64,12 +56,6 @@
   tick();
 }
 
-const Team* Leader::team(const std::string& name) const {
-  for (const auto& team : settings_.teams)
-    if (team.name == name) return &team;
-  return nullptr;
-}
-
 const wire::Flavor* Leader::flavor(const std::string& name) const {
   const auto found = std::find_if(flavors_.begin(), flavors_.end(),
                                   [&](const wire::Flavor& item) { return item.name == name; });
@@ -178,8 +164,7 @@
   rentals_.clear();
   intents_.clear();
   due_.clear();
-  usage_.clear();
-  cores_by_rank_ = {};
+  quota_.clear();
   groups_.clear();
   open_groups_.clear();
   buckets_.clear();
@@ -188,7 +173,6 @@
   to_release_.clear();
   surplus_.clear();
   spare_cores_ = 0;
-  service_cores_ = 0;
   to_ask_.clear();
   awaiting_.clear();
   queue_.reset();
@@ -274,7 +258,7 @@
     log_->error("state: {} cannot be read ({}): teams count every machine that is not heard yet in full",
                 wire::kBoundsKey, error.what());
   }
-  bounds_.begin(record, first_term_);
+  quota_.begin_term(record, first_term_);
 }
 
 // Throws before it takes anything in if the record cannot be read.
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -2,7 +2,6 @@
 // the comments here cite.
 #pragma once
 
-#include <array>
 #include <deque>
 #include <functional>
 #include <map>
@@ -14,6 +13,7 @@
 
 #include "calendar/outlook.hpp"
 #include "cloud/cloud.hpp"
+#include "leader/quota_ledger.hpp"
 #include "leader/strangers.hpp"
 #include "model/boots.hpp"
 #include "model/cancel_budget.hpp"
@@ -31,7 +31,6 @@
 #include "replicas/placer.hpp"
 #include "runtime/actor.hpp"
 #include "runtime/log.hpp"
-#include "shares/bounds.hpp"
 #include "state/reader.hpp"
 #include "state/store.hpp"
 
@@ -43,12 +42,6 @@
 constexpr unsigned kTryBits = 24;  // attempts of one term; the term is above them
 inline std::uint64_t started_under(wire::TryNo try_no) { return try_no.value >> kTryBits; }
 
-struct Team {
-  std::string name;
-  wire::Amounts guarantee;  // cores and accelerators
-  wire::Amounts limit;
-};
-
 struct Settings {
   std::string node;
   std::uint64_t incarnation = 0;
@@ -122,10 +115,6 @@
   void on(Reported& message);
 
  private:
-  struct Usage {
-    wire::Amounts used;
-    double service_cores = 0;  // the part of it that services use
-  };
   using Then = std::function<void()>;
   struct Intent {
     std::optional<wire::Json> data;
@@ -206,7 +195,6 @@
   void resync();
   void fetch_catalogue();
   void publish_progress();
-  const Team* team(const std::string& name) const;
   const wire::Flavor* flavor(const std::string& name) const;  // nothing if the catalogue lacks it
   void set_size(model::Machine& machine) const;
 
@@ -286,7 +274,6 @@
   void note_overload(double wanted, double lacking);
   bool may_start(const model::Job& job) const;
   bool team_has_room(const model::Job& job, std::uint32_t tasks = 1);
-  wire::Amounts team_use(const std::string& team) const;
   void write_bounds(bool lower);
   bool within_guarantee(const model::Job& job) const;
   bool zone_allows(const model::Job& job, const std::string& zone) const;
@@ -383,8 +370,7 @@
   double blind_until_ = 0;  // machines of an earlier leader may run tasks unseen: nothing starts before
   std::uint64_t tries_ = 0;
   std::uint64_t rentals_made_ = 0;
-  std::map<std::string, Usage> usage_;
-  std::array<double, 4> cores_by_rank_{};  // of tasks bound
+  QuotaLedger quota_;
   model::Fleet fleet_;
   std::map<std::string, Rental> rentals_;
   std::map<wire::HostId, double> gone_;
@@ -395,7 +381,6 @@
   double spare_cores_ = 0;          // of steady machines beyond the plan
   double reserve_cores_ = 0;        // of steady machines: kept free of batches for services to come
   double largest_service_ = 0;      // cores of one task
-  double service_cores_ = 0;        // that services use
   std::map<std::string, Group> groups_;
   std::map<Pool, std::set<std::string>> open_groups_;
   std::map<std::uint64_t, Bucket> buckets_;
@@ -410,7 +395,6 @@
   queue::MadeRoom made_room_;
   wire::HostId keep_cursor_;
   calendar::Outlook outlook_;  // of the tenants' cutoffs
-  shares::Bounds bounds_;
   wire::HostId room_cursor_;
   std::size_t unanswered_ = 0;  // direct requests unanswered and reports relayed, in this pace
   double heard_directly_ = 0;   // when a machine last reached us, or we it, without a sibling's help
--- a/src/leader/placement.cpp
+++ b/src/leader/placement.cpp
@@ -74,51 +74,26 @@
   return !job.on_trial() && !unconfirmed_could_hold(job);
 }
 
-// What the team's tasks may hold at most. Invariant 5: tasks of earlier leaders may run where this one has
-// not looked yet, those of unknown jobs may be of any team.
-wire::Amounts Leader::team_use(const std::string& team) const {
-  const auto used = usage_.find(team);
-  wire::Amounts total = used == usage_.end() ? wire::Amounts{} : used->second.used;
-  total += bounds_.unseen(team, fleet_.total().unconfirmed_size);
-  if (const auto unknown = usage_.find(""); unknown != usage_.end()) total += unknown->second.used;
-  return total;
-}
-
 bool Leader::team_has_room(const Job& job, std::uint32_t tasks) {
-  const auto* owner = team(job.spec.owner);
-  if (owner == nullptr) return false;
-  auto total = team_use(job.spec.owner);
-  for (std::uint32_t i = 0; i < tasks; ++i) total += job.spec.need;
-  if (total.cores > owner->limit.cores + kRounding ||
-      total.accelerators > owner->limit.accelerators + kRounding)
-    return false;
+  const auto admission =
+      quota_.admit(job.spec.owner, job.spec.need, tasks, fleet_.total().unconfirmed_size, term_);
   // Invariant 21: what the next leader is to count on is raised before it is used.
-  if (bounds_.covers(job.spec.owner, total, term_)) return true;
-  write_bounds(false);
-  return false;
+  if (admission == Admission::bound_not_covered) write_bounds(false);
+  return admission == Admission::allowed;
 }
 
 // One record for all teams, a put when one nears its bound; lowered once a round.
 void Leader::write_bounds(bool lower) {
-  std::map<std::string, wire::Amounts> used;
-  for (const auto& item : settings_.teams) used[item.name] = team_use(item.name);
-  const auto record = bounds_.next(used, term_, lower);
+  const auto record = quota_.next_record(fleet_.total().unconfirmed_size, term_, lower);
   if (!record) return;
   store(wire::kBoundsKey, to_json(*record), Patience::awaited, [this] {
-    bounds_.written();
+    quota_.record_stored();
     place_soon();
   });
 }
 
 bool Leader::within_guarantee(const Job& job) const {
-  const auto* owner = team(job.spec.owner);
-  if (owner == nullptr) return false;
-  const auto used = usage_.find(job.spec.owner);
-  wire::Amounts total = used == usage_.end() ? wire::Amounts{} : used->second.used;
-  if (bounds_.believed()) total += bounds_.unseen(job.spec.owner, fleet_.total().unconfirmed_size);
-  total += job.spec.need;
-  return total.cores <= owner->guarantee.cores + kRounding &&
-         total.accelerators <= owner->guarantee.accelerators + kRounding;
+  return quota_.within_guarantee(job.spec.owner, job.spec.need, fleet_.total().unconfirmed_size);
 }
 
 bool Leader::zone_allows(const Job& job, const std::string& zone) const {
@@ -139,7 +114,8 @@
   // In a fleet of few large machines none with fewer ever comes: hundreds waited for minutes beside free
   // cores.
   if (!job.begun() && loop().wall() - job.ready_at > kSpreadBoots * longest_boot_s()) return false;
-  const double most = std::max(kServicesTogether * job.spec.need.cores, kServiceShare * service_cores_);
+  const double most =
+      std::max(kServicesTogether * job.spec.need.cores, kServiceShare * quota_.service_cores());
   return machine.service_cores + job.spec.need.cores > most + kRounding;
 }
 
@@ -212,13 +188,8 @@
 // Books the task on the machine, for its team and for its job.
 void Leader::add_bind(Machine& machine, model::Bind bind) {
   machine.used += bind.need;
-  usage_[bind.owner].used += bind.need;
-  cores_by_rank_.at(static_cast<std::size_t>(bind.rank)) += bind.need.cores;
-  if (bind.service) {
-    machine.service_cores += bind.need.cores;
-    service_cores_ += bind.need.cores;
-    usage_[bind.owner].service_cores += bind.need.cores;
-  }
+  if (bind.service) machine.service_cores += bind.need.cores;
+  quota_.add(bind);
   hold(bind, 1);
   if (const auto job = jobs_.find(bind.member.job); job != jobs_.end() && !bind.alien) {
     job->second.where[bind.member.index] = machine.host;
@@ -418,16 +389,9 @@
   // Stopped work is mostly lost, and borrowed room comes back by itself as tasks end: taken back by force
   // is only what long tasks would not give back soon, when a whole round has not brought enough.
   const bool guaranteed = within_guarantee(job) && loop().wall() - job.ready_at > settings_.round_s &&
-                          std::any_of(settings_.teams.begin(), settings_.teams.end(), [&](const Team& other) {
-                            const auto used = usage_.find(other.name);
-                            return other.name != job.spec.owner && used != usage_.end() &&
-                                   used->second.used.cores > other.guarantee.cores + kRounding;
-                          });
-  double lower_cores = 0;
+                          quota_.others_borrow(job.spec.owner);
   const auto own_rank = rank(job);
-  for (std::size_t below = 0; below < static_cast<std::size_t>(own_rank); ++below)
-    lower_cores += cores_by_rank_.at(below);
-  if (!guaranteed && lower_cores < kRounding) return false;
+  if (!guaranteed && quota_.cores_below(own_rank) < kRounding) return false;
   Machine* best = nullptr;
   std::vector<wire::MemberId> best_victims;
   std::pair<bool, double> best_loss{true, std::numeric_limits<double>::max()};
@@ -446,14 +410,11 @@
       if (job.spec.need.fits(room)) break;
       const auto other = jobs_.find(member.job);
       if (other == jobs_.end() || bind.owner.empty()) continue;
-      const auto* owner = team(bind.owner);
       const bool lower = rank(other->second) < own_rank;
       // A team's services count towards its guarantee first: it is its batches that borrow. Stopped for
       // that, services were down all day while their team's batches went on (lakaskalk-grown).
-      const auto& usage = usage_[bind.owner];
-      const double counted = bind.service ? usage.service_cores : usage.used.cores;
-      const bool borrowed = guaranteed && owner != nullptr && bind.owner != job.spec.owner &&
-                            counted > owner->guarantee.cores + kRounding;
+      const bool borrowed =
+          guaranteed && bind.owner != job.spec.owner && quota_.borrows(bind.owner, bind.service);
       const double left =
           other->second.service()
               ? std::numeric_limits<double>::max()
--- a/src/leader/reports.cpp
+++ b/src/leader/reports.cpp
@@ -379,7 +379,8 @@
 // (invariant 21). Only of a machine that has shown a fence of this reign: a report that was held back may
 // tell of a session that ended under the earlier leader, whose tasks were replaced by others.
 void Leader::seen(const Bind& bind) {
-  if (!bind.owner.empty() && started_under(bind.try_no) < first_term_) bounds_.seen(bind.owner, bind.need);
+  if (!bind.owner.empty() && started_under(bind.try_no) < first_term_)
+    quota_.inherited_task_seen(bind.owner, bind.need);
 }
 
 void Leader::adopt(Machine& machine, const wire::MemberReport& member) {
@@ -444,14 +445,9 @@
     machine.used = {};
     machine.idle_since = loop().now();
   }
-  usage_[bind.owner].used -= bind.need;
-  cores_by_rank_.at(static_cast<std::size_t>(bind.rank)) -= bind.need.cores;
+  if (bind.service) machine.service_cores -= bind.need.cores;
+  quota_.remove(bind);
   hold(bind, -1);
-  if (bind.service) {
-    machine.service_cores -= bind.need.cores;
-    service_cores_ -= bind.need.cores;
-    usage_[bind.owner].service_cores -= bind.need.cores;
-  }
   fleet_.refresh(machine);
   const auto found_job = jobs_.find(member.job);
   if (!bind.alien) replicas_.board().gone(member, loop().now());
