--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -22,15 +22,7 @@
 constexpr double kKeptOverdue = 0.25;  // of the time in which the largest should begin
 constexpr std::size_t kKeptMost = 8;   // machines kept at a time, fewer than a task looks at
 
-constexpr double kBoundSteps = 8;  // into which a team's limit is divided (shares/bounds.hpp)
-
 bool has_prefix(const std::string& key, const std::string& prefix) { return key.starts_with(prefix); }
-
-std::map<std::string, wire::Amounts> limits_of(const std::vector<Team>& teams) {
-  std::map<std::string, wire::Amounts> limits;
-  for (const auto& team : teams) limits[team.name] = team.limit;
-  return limits;
-}
 }  // namespace
 
 Leader::Leader(runtime::Loop& loop, runtime::Log log, Settings settings, Ports ports)
@@ -39,6 +31,7 @@
       settings_(std::move(settings)),
       ports_(std::move(ports)),
       reader_(loop, ports_.store),
+      quota_(settings_.teams),
       rental_manager_(loop, log_, rental_settings(), fleet_, rental_ports()),
       strangers_(settings_.pace_s, settings_.lease_s, kMaxStrangers),
       queue_(queue_settings(), queue_facts()),
@@ -46,7 +39,6 @@
                   autoscaler_ports()),
       replicas_({settings_.gang_wait_s, settings_.gang_peer_s, settings_.gang_wait_s}),
       kept_room_({settings_.pace_s, kKeptOverdue * settings_.begin_within_s, kKeptMost}),
-      bounds_(limits_of(settings_.teams), kBoundSteps),
       reachability_probe_(loop, log_,
                           {settings_.lease_s, settings_.report_s, settings_.pace_s, settings_.controllers},
                           reachability_ports()),
@@ -64,12 +56,6 @@
   tick();
 }
 
-const Team* Leader::team(const std::string& name) const {
-  for (const auto& team : settings_.teams)
-    if (team.name == name) return &team;
-  return nullptr;
-}
-
 const wire::Flavor* Leader::flavor(const std::string& name) const {
   const auto found = std::find_if(flavors_.begin(), flavors_.end(),
                                   [&](const wire::Flavor& item) { return item.name == name; });
@@ -179,15 +165,13 @@
   rental_manager_.end_term();
   intents_.clear();
   due_.clear();
-  usage_.clear();
-  cores_by_rank_ = {};
+  quota_.clear();
   groups_.clear();
   open_groups_.clear();
   buckets_.clear();
   open_buckets_.clear();
   strangers_.clear();
   autoscaler_.end_term();
-  service_cores_ = 0;
   to_ask_.clear();
   awaiting_.clear();
   queue_.reset();
@@ -272,7 +256,7 @@
     log_->error("state: {} cannot be read ({}): teams count every machine that is not heard yet in full",
                 wire::kBoundsKey, error.what());
   }
-  bounds_.begin(record, first_term_);
+  quota_.begin_term(record, first_term_);
 }
 
 // Throws before it takes anything in if the record cannot be read.
