--- a/src/leader/fleet.cpp
+++ b/src/leader/fleet.cpp
@@ -9,6 +9,7 @@
 
 using model::Machine;
 using queue::task_s;
+using state::FlushDelay;
 
 namespace {
 constexpr std::uint32_t kProbesUnanswered = 2;  // with at least so many unanswered
@@ -386,7 +387,8 @@
                  reclaimable ? ", spot" : "");
       rental.asking = true;
       // Invariant 3: stored before it is requested.
-      store(wire::rental_key(name), to_json(rental.record), Patience::none, [this, name] { ask(name); });
+      writes_.store(wire::rental_key(name), to_json(rental.record), FlushDelay::none,
+                    [this, name] { ask(name); });
     }
   }
   return asked;
@@ -425,12 +427,12 @@
   }
   if (result.hosts.empty()) {
     rentals_.erase(found);
-    store(wire::rental_key(name), std::nullopt, Patience::tidying);
+    writes_.store(wire::rental_key(name), std::nullopt, FlushDelay::garbage);
     return;
   }
   rental.record.hosts.emplace();
   for (const auto& host : result.hosts) rental.record.hosts->push_back(host.value);
-  store(wire::rental_key(name), to_json(rental.record), Patience::machines);
+  writes_.store(wire::rental_key(name), to_json(rental.record), FlushDelay::machines);
   // At once: until its machines are known the rental counts neither as asked for nor as there, and a plan
   // made in between rented all of them once more.
   settle_rentals();
@@ -467,7 +469,7 @@
   }
   for (const auto& name : over) {
     rentals_.erase(name);
-    store(wire::rental_key(name), std::nullopt, Patience::tidying);
+    writes_.store(wire::rental_key(name), std::nullopt, FlushDelay::garbage);
   }
 }
 
--- a/src/leader/intents.cpp
+++ b/src/leader/intents.cpp
@@ -1,6 +1,5 @@
-// The leader's writes: the wanted value of each key, committed in batches, one transaction at a time. The
-// service counts every put, so machines and finished tasks share keys, and a write waits a little for others
-// of the same key to join it.
+// What the leader tells the write coalescer of its records, and the keys that many share: the service counts
+// every put, so machines and finished tasks share keys.
 #include <algorithm>
 #include <cstdlib>
 #include <iterator>
@@ -11,83 +10,45 @@
 namespace bankhill::leader {
 
 using model::Job;
-using state::Outcome;
+using state::FlushDelay;
 using wire::Json;
 
 namespace {
-constexpr std::size_t kBatchBytes = 48 * 1024;  // of the 64 KiB that a transaction may hold
 // Of the value limit, or of what a transaction holds if that is less: what one shared key may grow to.
 constexpr double kShareOfValue = 0.5;
-constexpr std::size_t kUrgentWrites = 4;  // with a rental, however little of the limit is left
 constexpr std::size_t kMostShared = 4096;
-
-// After a transaction was refused as malformed.
-constexpr double kShrink = 0.7;           // what a value may take, of the one refused
-constexpr std::size_t kLeastValue = 512;  // below which size was not what it was refused for
-constexpr std::size_t kCalmCommits = 32;  // after which larger transactions are tried again
-constexpr double kSetAsideRounds = 4;     // until what cannot be made to fit is tried again
 }  // namespace
 
-double Leader::patience_s(Patience patience) const {
-  switch (patience) {
-    case Patience::awaited:
-      return -settings_.pace_s;
-    case Patience::none:
-      return 0;
-    case Patience::machines:
-      return settings_.pace_s / 30;
-    case Patience::exits:
-      return settings_.pace_s / 6;
-    case Patience::removal:
-      return settings_.pace_s / 3;
-    case Patience::tidying:
-      return settings_.pace_s;
-  }
-  return 0;
-}
-
-void Leader::store(const std::string& key, std::optional<Json> data, Patience patience, Then then) {
-  const double due = loop().now() + patience_s(patience);
-  auto [entry, added] = intents_.try_emplace(key);
-  auto& wanted = entry->second;
-  if (!added) due_.erase({wanted.due, key});
-  wanted.due = added ? due : std::min(wanted.due, due);
-  due_.emplace(wanted.due, key);
-  wanted.data = std::move(data);
-  if (then) wanted.then.push_back(std::move(then));
-  flush_soon();
-}
-
-void Leader::store_group(const std::string& group, Patience patience, Then then) {
-  store(wire::machines_key(group), std::nullopt, patience, std::move(then));
+void Leader::store_group(const std::string& group, FlushDelay delay, Then then) {
+  writes_.store(wire::machines_key(group), std::nullopt, delay, std::move(then));
 }
 
-void Leader::store_bucket(std::uint64_t bucket, Patience patience, Then then) {
-  store(wire::finished_key(bucket), std::nullopt, patience, std::move(then));
+void Leader::store_bucket(std::uint64_t bucket, FlushDelay delay, Then then) {
+  writes_.store(wire::finished_key(bucket), std::nullopt, delay, std::move(then));
 }
 
-// Puts the present value of a group or bucket into its intent.
-void Leader::render(const std::string& key, Intent& intent) const {
+// Puts the present value of a group or bucket into its pending write.
+void Leader::render(const std::string& key, state::PendingWrite& write) const {
   if (key.starts_with(wire::kMachines)) {
-    intent.data.reset();
+    write.data.reset();
     const auto group = groups_.find(key.substr(wire::kMachines.size()));
     if (group == groups_.end()) return;
     wire::MachineGroupRecord record{
         group->second.pool.flavor, group->second.pool.rack_room, group->second.pool.reclaimable, {}};
     for (const auto& host : group->second.hosts)
       if (const auto* machine = fleet_.peek(host)) record.hosts.emplace(host, machine->address);
-    if (!record.hosts.empty()) intent.data = to_json(record);
+    if (!record.hosts.empty()) write.data = to_json(record);
   } else if (key.starts_with(wire::kFinished)) {
     const auto name = key.substr(wire::kFinished.size());
     if (name.find('/') != std::string::npos) return;  // of version 0.1: only ever deleted
-    intent.data.reset();
+    write.data.reset();
     const auto bucket = buckets_.find(std::stoull(name));
     if (bucket == buckets_.end()) return;
     wire::FinishedBucket record;
     for (const auto& id : bucket->second.chunks)
       if (const auto job = jobs_.find(id.job); job != jobs_.end() && job->second.live())
         record.emplace(id, wire::finished_hex(job->second.marks, id.chunk, model::kDone));
-    if (!record.empty()) intent.data = to_json(record);
+    if (!record.empty()) write.data = to_json(record);
   }
 }
 
@@ -104,17 +65,12 @@
     if (const auto number = std::strtoull(rest(wire::kFinished).c_str(), nullptr, 10);
         number >> 20 == first_term_ && key == wire::finished_key(number))
       stray = !buckets_.contains(number);
-  if (stray && !intents_.contains(key)) store(key, std::nullopt, Patience::tidying);
+  if (stray && !writes_.contains(key)) writes_.store(key, std::nullopt, FlushDelay::garbage);
 }
 
 std::size_t Leader::shared_bytes() const {
-  return std::min(kMostShared, static_cast<std::size_t>(static_cast<double>(value_bytes_) * kShareOfValue));
-}
-
-Leader::Intent Leader::take(const std::string& key) {
-  auto taken = intents_.extract(key);
-  due_.erase({taken.mapped().due, key});
-  return std::move(taken.mapped());
+  return std::min(kMostShared,
+                  static_cast<std::size_t>(static_cast<double>(writes_.value_limit()) * kShareOfValue));
 }
 
 Leader::Shared* Leader::shared(const std::string& key) {
@@ -128,31 +84,77 @@
   return bucket == buckets_.end() ? nullptr : &bucket->second;
 }
 
-// A value that is too large by now, stored under a larger limit, is made smaller. False: it is not to be
-// written yet.
-bool Leader::make_fit(const std::string& key) {
-  auto& intent = intents_.at(key);
+// A value that is too large by now, stored under a larger limit, is made smaller.
+state::WritePreparation Leader::prepare(const std::string& key, state::PendingWrite& write) {
+  render(key, write);
   if (auto* of_many = shared(key); of_many != nullptr && of_many->moving) {
-    auto held = take(key);
-    std::move(held.then.begin(), held.then.end(), std::back_inserter(of_many->held));
-    return false;
+    std::move(write.callbacks.begin(), write.callbacks.end(), std::back_inserter(of_many->held));
+    return state::WritePreparation::withheld;
   }
-  if (!intent.data || wire::stored_bytes(*intent.data) <= value_bytes_) return true;
+  if (!write.data || wire::stored_bytes(*write.data) <= writes_.value_limit())
+    return state::WritePreparation::ready;
   if (key.starts_with(wire::kRentals)) {
     // Without its hosts a new leader asks the cloud for them under the same name.
-    intent.data->erase("hosts");
+    write.data->erase("hosts");
   } else if (key.starts_with(wire::kJobs)) {
-    const auto record = wire::parse_job_record(*intent.data);
-    intent.data = wire::final_json(record, record.phase, record.ended_at, value_bytes_);
-  } else if (move_excess(key)) {
-    return false;
+    const auto record = wire::parse_job_record(*write.data);
+    write.data = wire::final_json(record, record.phase, record.ended_at, writes_.value_limit());
+  } else if (move_excess(key, write)) {
+    return state::WritePreparation::withheld;
   }
-  return true;
+  return state::WritePreparation::ready;
+}
+
+bool Leader::may_write() const { return valid(); }
+
+const Job* Leader::recorded_job(const std::string& key) const {
+  const auto found = jobs_.find(wire::JobId{key.substr(wire::kJobs.size())});
+  return found == jobs_.end() ? nullptr : &found->second;
+}
+
+wire::Stamp Leader::expected_revision(const std::string& key) const {
+  if (!key.starts_with(wire::kJobs)) return view_.stamp(key);
+  const auto* found = recorded_job(key);
+  return found == nullptr ? wire::Stamp{} : found->stamp;
+}
+
+// Of jobs those that are over, done by us or cancelled.
+bool Leader::is_final(const std::string& key) const {
+  if (!key.starts_with(wire::kJobs)) return false;
+  const auto* found = recorded_job(key);
+  return found == nullptr || found->over();
+}
+
+// What a job's record holds is known from its phase alone (is_final).
+bool Leader::holds(const std::string& key, const std::optional<Json>& data) const {
+  if (key.starts_with(wire::kJobs)) return false;
+  const auto* entry = view_.find(key);
+  return data ? entry != nullptr && entry->data == *data : entry == nullptr;
+}
+
+// A rental goes with the urgent ones: it waited ten seconds behind a site's first submissions, and every task
+// of theirs waits for the machines (lakaskalk-ops, the first half minute). So does the end of a job that
+// others wait for.
+bool Leader::is_urgent(const std::string& key) const {
+  if (key.starts_with(wire::kRentals) || key == wire::kBoundsKey) return true;
+  return key.starts_with(wire::kJobs) && waits_.awaited(wire::JobId{key.substr(wire::kJobs.size())});
+}
+
+void Leader::apply_committed(const state::Change& change) {
+  if (change.key.starts_with(wire::kJobs))
+    learn_job(change);
+  else
+    view_.apply(change);
+}
+
+void Leader::after_commit() {
+  take_waits_news();
+  drop_final();
 }
 
 // Moves what a shared key holds too much to others. Those are written first: a leader that finds a machine
 // or a chunk under two keys takes it once, one that finds it under none would not know of it (invariant 4).
-bool Leader::move_excess(const std::string& key) {
+bool Leader::move_excess(const std::string& key, state::PendingWrite& write) {
   auto* from = shared(key);
   if (from == nullptr) return false;
   std::set<std::string> targets;
@@ -197,7 +199,7 @@
   log_->info("state: {} is larger than a value may be now, moving a part of it to {} others", key,
              targets.size());
   from->moving = true;
-  from->held = take(key).then;
+  from->held = std::move(write.callbacks);
   auto left = std::make_shared<std::size_t>(targets.size());
   const Then moved = [this, key, left, hosts, chunks] {
     if (--*left > 0) return;
@@ -219,163 +221,14 @@
     }
     const auto held = std::exchange(source->held, {});
     drop_if_empty(key);
-    store(key, std::nullopt, Patience::none, [held] {
+    writes_.store(key, std::nullopt, FlushDelay::none, [held] {
       for (const auto& then : held) then();
     });
   };
-  for (const auto& target : targets) store(target, std::nullopt, Patience::none, moved);
+  for (const auto& target : targets) writes_.store(target, std::nullopt, FlushDelay::none, moved);
   return true;
 }
 
-// Retried as it was it would hold up everything behind it: halved, until the write that is not taken stands
-// alone; that is made smaller, or set aside.
-void Leader::malformed(Batch batch) {
-  const bool alone = batch.size() == 1;
-  most_writes_ = std::max<std::size_t>(1, batch.size() / 2);
-  calm_ = 0;
-  double wait = 0;
-  if (alone) {
-    const auto& data = batch.begin()->second.data;
-    const auto size = data ? wire::stored_bytes(*data) : 0;
-    const auto smaller = static_cast<std::size_t>(static_cast<double>(size) * kShrink);
-    if (smaller >= kLeastValue && smaller < value_bytes_)
-      value_bytes_ = smaller;
-    else
-      wait = kSetAsideRounds * settings_.round_s;
-  }
-  for (auto& [key, intent] : batch) intent.due = std::max(intent.due, loop().now()) + wait;
-  resolve(std::move(batch), true);
-  flush_soon();
-}
-
-void Leader::flush_soon() {
-  if (std::exchange(flush_scheduled_, true)) return;
-  // On the next turn, so that what belongs together is committed together.
-  loop().post(guard([this] {
-    flush_scheduled_ = false;
-    flush();
-  }));
-}
-
-void Leader::flush() {
-  if (committing_ || due_.empty() || !valid()) return;
-  const double now = loop().now();
-  // A timer wakes it for what is not due yet, or when the service's write limit allows more.
-  const auto later = [this](double wait) {
-    flush_timer_ = loop().after(wait, guard([this] { flush_soon(); }));
-  };
-  if (due_.begin()->first > now) return later(due_.begin()->first - now);
-  // A rental goes with the urgent ones: it waited ten seconds behind a site's first submissions, and every
-  // task of theirs waits for the machines (lakaskalk-ops, the first half minute). So does the end of a job
-  // that others wait for.
-  const auto& first_key = due_.begin()->second;
-  const bool urgent = first_key.starts_with(wire::kRentals) || first_key == wire::kBoundsKey ||
-                      (first_key.starts_with(wire::kJobs) &&
-                       waits_.awaited(wire::JobId{first_key.substr(wire::kJobs.size())}));
-  const auto allowed = static_cast<std::size_t>(std::max(0.0, ports_.store.writes_to_spare()));
-  const auto most = std::min(most_writes_, urgent ? std::max(kUrgentWrites, allowed) : allowed);
-  if (most == 0) return later(settings_.pace_s / 30);
-  state::Transaction transaction;
-  // Invariant 1: once a newer term is won, this transaction fails however late it arrives.
-  transaction.when.push_back({wire::kTermKey, view_.stamp(wire::kTermKey)});
-  Batch batch;
-  std::size_t bytes = 0;
-  while (!due_.empty() && due_.begin()->first <= now && batch.size() < most) {
-    const std::string key = due_.begin()->second;
-    const auto first = intents_.find(key);
-    render(key, first->second);
-    if (!make_fit(key)) continue;
-    const std::size_t size = first->second.data ? wire::stored_bytes(*first->second.data) + key.size() : 0;
-    if (!batch.empty() && bytes + size > kBatchBytes) break;
-    due_.erase(due_.begin());
-    bytes += size;
-    const bool is_job = key.starts_with(wire::kJobs);
-    const auto job = is_job ? jobs_.find(wire::JobId{key.substr(wire::kJobs.size())}) : jobs_.end();
-    // Invariant 8: the job key's stamp decides between done and cancelled.
-    if (is_job && (job == jobs_.end() || job->second.over())) {
-      // Wanted before the job was known to be cancelled: with the new stamp it would call it done.
-      auto dropped = intents_.extract(first);
-      for (auto& then : dropped.mapped().then) loop().post(guard(std::move(then)));
-      continue;
-    }
-    const auto stamp = job != jobs_.end() ? job->second.stamp : view_.stamp(key);
-    transaction.when.push_back({key, stamp});
-    // A key that does not exist needs no deletion, but its condition must still hold.
-    if (first->second.data || stamp.value != 0)
-      transaction.writes.push_back({key, first->second.data, std::nullopt});
-    batch.insert(intents_.extract(first));
-  }
-  if (batch.empty()) return;
-  committing_ = true;
-  const auto reign = first_term_;
-  auto sent = std::make_shared<Batch>(std::move(batch));
-  ports_.store.tell(
-      state::Commit{std::move(transaction), guard([this, reign, sent](state::CommitResult result) {
-                      if (!reigning_ || reign != first_term_) return;
-                      if (result.outcome == Outcome::done) return committed(std::move(*sent), result.epoch);
-                      if (result.outcome == Outcome::malformed) return malformed(std::move(*sent));
-                      // Unless it was done, look what the keys hold now and try again.
-                      ports_.store.tell(state::Sync{guard([this, reign, sent](bool fine) {
-                                                      loop().post(guard([this, reign, sent, fine] {
-                                                        if (reigning_ && reign == first_term_)
-                                                          resolve(std::move(*sent), fine);
-                                                      }));
-                                                    }),
-                                                    true});
-                    }),
-                    urgent});
-}
-
-void Leader::committed(Batch batch, wire::Epoch epoch) {
-  committing_ = false;
-  if (++calm_ >= kCalmCommits) most_writes_ = settings_.txn_ops;
-  for (auto& [key, intent] : batch) {
-    const state::Change change{key, std::move(intent.data), wire::Stamp{epoch.value}};
-    if (key.starts_with(wire::kJobs))
-      learn_job(change);
-    else
-      view_.apply(change);
-  }
-  for (auto& [key, intent] : batch)
-    for (const auto& then : intent.then) then();
-  take_waits_news();
-  drop_final();
-  flush_soon();
-}
-
-// `looked`: what is known is newer than the transaction. Else what it wrote may not be, and that a key holds
-// what is wanted now may be how it was before.
-void Leader::resolve(Batch batch, bool looked) {
-  committing_ = false;
-  std::vector<Then> settled;
-  for (auto& [key, intent] : batch) {
-    bool over = false;
-    if (key.starts_with(wire::kJobs)) {
-      const auto job = jobs_.find(wire::JobId{key.substr(wire::kJobs.size())});
-      over = job == jobs_.end() || job->second.over();  // done by us, or cancelled: either is final
-    } else if (looked && !intents_.contains(key)) {
-      const auto* entry = view_.find(key);
-      over = intent.data ? entry != nullptr && entry->data == *intent.data : entry == nullptr;
-    }
-    if (over) {
-      for (auto& then : intent.then) settled.push_back(std::move(then));
-      continue;
-    }
-    // A newer value wanted meanwhile takes over the older one's followers.
-    auto [entry, added] = intents_.try_emplace(key);
-    auto& wanted = entry->second;
-    if (added) {
-      wanted.data = std::move(intent.data);
-      wanted.due = intent.due;
-      due_.emplace(wanted.due, key);
-    }
-    wanted.then.insert(wanted.then.begin(), std::make_move_iterator(intent.then.begin()),
-                       std::make_move_iterator(intent.then.end()));
-  }
-  for (const auto& then : settled) then();
-  // The tick tries again: not at once, since the service may be refusing.
-}
-
 // The bucket that holds this chunk of the job's finished tasks.
 std::uint64_t Leader::bucket_for(Job& job, std::uint32_t chunk) {
   const auto known = job.buckets.find(chunk);
@@ -408,7 +261,7 @@
     bucket.bytes -= std::min(bucket.bytes, wire::chunk_bytes(job.spec.members, chunk));
     if (bucket.moving) continue;
     if (bucket.bytes < shared_bytes() / 2) open_buckets_.insert(number);
-    if (drop_if_empty(wire::finished_key(number))) store_bucket(number, Patience::tidying);
+    if (drop_if_empty(wire::finished_key(number))) store_bucket(number, FlushDelay::garbage);
   }
   job.buckets.clear();
 }
@@ -434,7 +287,7 @@
   if (std::exchange(machine.recording, true)) return;
   open_group(machine);
   // Invariant 4: it takes tasks only once this is committed.
-  store_group(machine.group, Patience::machines, [this, host = machine.host] {
+  store_group(machine.group, FlushDelay::machines, [this, host = machine.host] {
     auto* found = fleet_.find(host);
     if (found == nullptr) return;
     found->recorded = true;
@@ -453,7 +306,7 @@
   group.bytes -= std::min(group.bytes, wire::group_bytes(machine.host, machine.address));
   if (!group.single && !group.moving && group.bytes < shared_bytes())
     open_groups_[group.pool].insert(found->first);
-  store_group(found->first, Patience::removal);
+  store_group(found->first, FlushDelay::removal);
   if (!group.moving) drop_if_empty(wire::machines_key(found->first));
 }
 
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -8,6 +8,7 @@
 
 using model::Job;
 using model::Machine;
+using state::FlushDelay;
 using wire::Json;
 
 namespace {
@@ -42,6 +43,16 @@
   for (const auto& team : teams) limits[team.name] = team.limit;
   return limits;
 }
+
+state::WriteCoalescer::Settings write_settings(const Settings& settings) {
+  return {settings.pace_s, settings.round_s, settings.txn_ops, wire::usable_bytes(settings.value_kb)};
+}
+
+state::WriteCoalescer::Service write_service(state::Store& store) {
+  return {[&store](state::Commit message) { store.tell(std::move(message)); },
+          [&store](state::Sync message) { store.tell(std::move(message)); },
+          [&store] { return store.writes_to_spare(); }};
+}
 }  // namespace
 
 Leader::Leader(runtime::Loop& loop, runtime::Log log, Settings settings, Ports ports)
@@ -49,15 +60,13 @@
       log_(std::move(log)),
       settings_(std::move(settings)),
       ports_(std::move(ports)),
+      writes_(loop, write_settings(settings_), write_service(ports_.store), *this),
       reader_(loop, ports_.store),
       strangers_(settings_.pace_s, settings_.lease_s, kStrangers),
       queue_(queue_settings(), queue_facts()),
       replicas_({settings_.gang_wait_s, settings_.gang_peer_s, settings_.gang_wait_s}),
       kept_room_({settings_.pace_s, kKeptOverdue * settings_.begin_within_s, kKeptMost}),
-      bounds_(limits_of(settings_.teams), kBoundSteps) {
-  value_bytes_ = wire::usable_bytes(settings_.value_kb);
-  most_writes_ = settings_.txn_ops;
-}
+      bounds_(limits_of(settings_.teams), kBoundSteps) {}
 
 void Leader::start() {
   last_tick_ = loop().now();
@@ -176,8 +185,7 @@
 void Leader::forget_reign() {
   fleet_.clear();
   rentals_.clear();
-  intents_.clear();
-  due_.clear();
+  writes_.clear();
   usage_.clear();
   cores_by_rank_ = {};
   groups_.clear();
@@ -200,7 +208,7 @@
   unanswered_ = sample_out_ = 0;
   sample_since_ = -1e9;
   records_made_ = 0;
-  committing_ = raising_ = listing_ = releasing_ = false;
+  raising_ = listing_ = releasing_ = false;
 }
 
 // What earlier leaders stored: machines, rentals and finished tasks.
@@ -249,7 +257,7 @@
       }
       if (twice) {
         drop_if_empty(key);
-        store_group(name, Patience::tidying);
+        store_group(name, FlushDelay::garbage);
       }
     } else if (has_prefix(key, wire::kRentals)) {
       auto record =
@@ -311,14 +319,14 @@
   }
   if (homes.empty()) {
     if (single || !buckets_.contains(own_number))
-      store(key, std::nullopt, Patience::tidying);  // its jobs are over
+      writes_.store(key, std::nullopt, FlushDelay::garbage);  // its jobs are over
     return true;
   }
   // Written there first: what stood here may be the newer part.
   const auto left = std::make_shared<std::size_t>(homes.size());
   for (const auto home : homes)
-    store_bucket(home, Patience::exits, [this, key, left] {
-      if (--*left == 0) store(key, std::nullopt, Patience::tidying);
+    store_bucket(home, FlushDelay::exits, [this, key, left] {
+      if (--*left == 0) writes_.store(key, std::nullopt, FlushDelay::garbage);
     });
   return true;
 }
@@ -505,7 +513,7 @@
   check_reach();
   write_cancelled();
   send_releases();
-  flush();
+  writes_.flush();
 }
 
 // A leader on the small side of a cut between zones, or cut off from the workers, keeps its lease through the
@@ -591,7 +599,7 @@
       "leader: {}; {} machines up, {} coming, {} unconfirmed, {:.0f} of {:.0f} steady and {:.0f} of {:.0f} "
       "spot cores free, {} live jobs, {} waiting, {} writes waiting",
       text, total.up, total.coming, total.unconfirmed, steady.free_cores, steady.cores, spot.free_cores,
-      spot.cores, live_.size(), queue_.jobs().size(), intents_.size());
+      spot.cores, live_.size(), queue_.jobs().size(), writes_.size());
 }
 
 void Leader::fetch_catalogue() {
@@ -605,12 +613,13 @@
       fleet_.refresh(machine);
     }
     // Kept in the state service too: a restart during a cloud outage can still decide.
-    const auto values = wire::stored_catalogue(flavors_, value_bytes_, (first_term_ << 20) + ++records_made_);
-    for (const auto& [key, value] : values) store(key, value, Patience::tidying);
+    const auto values =
+        wire::stored_catalogue(flavors_, writes_.value_limit(), (first_term_ << 20) + ++records_made_);
+    for (const auto& [key, value] : values) writes_.store(key, value, FlushDelay::garbage);
     // Parts that are no longer of it.
     for (auto entry = view_.entries().lower_bound(wire::kCatalogueParts);
          entry != view_.entries().end() && has_prefix(entry->first, wire::kCatalogueParts); ++entry)
-      if (!intents_.contains(entry->first)) store(entry->first, std::nullopt, Patience::tidying);
+      if (!writes_.contains(entry->first)) writes_.store(entry->first, std::nullopt, FlushDelay::garbage);
     if (first) {
       plan_soon();
       place_soon();
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -34,6 +34,7 @@
 #include "shares/bounds.hpp"
 #include "state/reader.hpp"
 #include "state/store.hpp"
+#include "state/write_coalescer.hpp"
 
 namespace bankhill::leader {
 
@@ -97,7 +98,7 @@
   std::string by;  // the sibling that it came through; empty: none
 };
 
-class Leader : public runtime::Actor<Leader, Changed, Valid, Reported> {
+class Leader : public runtime::Actor<Leader, Changed, Valid, Reported>, private state::WriteOwner {
  public:
   struct Ports {
     state::Store& store;
@@ -127,15 +128,6 @@
     double service_cores = 0;  // the part of it that services use
   };
   using Then = std::function<void()>;
-  struct Intent {
-    std::optional<wire::Json> data;
-    std::vector<Then> then;
-    double due = 0;  // steady clock: until then further changes of the key may join it
-  };
-  using Batch = std::map<std::string, Intent>;
-  // How long a write may wait for others to join it: what tasks or users wait for goes first, and since
-  // what waits longest comes first nothing is starved.
-  enum class Patience { awaited, none, machines, exits, removal, tidying };
   struct Shared {  // a key that many share
     std::size_t bytes = 0;
     // A part of it is being written under other keys: until that is committed this one is not written.
@@ -210,25 +202,26 @@
   const wire::Flavor* flavor(const std::string& name) const;  // nothing if the catalogue lacks it
   void set_size(model::Machine& machine) const;
 
-  // Stored intents (intents.cpp)
-  void store(const std::string& key, std::optional<wire::Json> data, Patience patience, Then then = {});
+  // Stored records (intents.cpp): what the write coalescer asks
+  bool may_write() const override;
+  wire::Stamp expected_revision(const std::string& key) const override;
+  bool is_final(const std::string& key) const override;
+  bool holds(const std::string& key, const std::optional<wire::Json>& data) const override;
+  bool is_urgent(const std::string& key) const override;
+  state::WritePreparation prepare(const std::string& key, state::PendingWrite& write) override;
+  void apply_committed(const state::Change& change) override;
+  void after_commit() override;
+  const model::Job* recorded_job(const std::string& key) const;  // whose record this key holds
+
   // Groups and buckets are rendered when they are written.
-  void store_group(const std::string& group, Patience patience, Then then = {});
-  void store_bucket(std::uint64_t bucket, Patience patience, Then then = {});
-  double patience_s(Patience patience) const;
-  void render(const std::string& key, Intent& intent) const;
-  Intent take(const std::string& key);
+  void store_group(const std::string& group, state::FlushDelay delay, Then then = {});
+  void store_bucket(std::uint64_t bucket, state::FlushDelay delay, Then then = {});
+  void render(const std::string& key, state::PendingWrite& write) const;
   std::size_t shared_bytes() const;
   bool drop_if_empty(const std::string& key);
-  bool make_fit(const std::string& key);
-  bool move_excess(const std::string& key);
+  bool move_excess(const std::string& key, state::PendingWrite& write);
   void drop_stray(const std::string& key);
   Shared* shared(const std::string& key);
-  void malformed(Batch batch);
-  void flush_soon();
-  void flush();
-  void committed(Batch batch, wire::Epoch epoch);
-  void resolve(Batch batch, bool looked);
   std::uint64_t bucket_for(model::Job& job, std::uint32_t chunk);
   std::uint64_t open_bucket(const wire::ChunkId& id, std::size_t size);
   void open_group(model::Machine& machine);
@@ -357,6 +350,7 @@
   Ports ports_;
 
   state::View view_;  // all but jobs
+  state::WriteCoalescer writes_;
   wire::CatalogueReader catalogue_;
   Jobs jobs_;
   model::Waits waits_;
@@ -428,13 +422,6 @@
   std::map<std::string, Reclaims> reclaims_;
   model::Boots boots_;
   double boots_at_ = 0;  // steady clock: when these were counted
-  Batch intents_;
-  std::set<std::pair<double, std::string>> due_;  // the keys of intents_ by when they are due
-  std::size_t value_bytes_ = 0;                   // that a value may take, less once one was refused
-  std::size_t most_writes_ = 0;                   // in a transaction, fewer for a while once one was refused
-  std::size_t calm_ = 0;                          // transactions since then
-  bool committing_ = false;
-  bool flush_scheduled_ = false;
   bool raising_ = false;
   bool doubtful_ = false;
   double raised_at_ = 0;
@@ -455,7 +442,6 @@
   runtime::Timer tick_timer_;
   runtime::Timer place_timer_;
   runtime::Timer plan_timer_;
-  runtime::Timer flush_timer_;
 };
 
 }  // namespace bankhill::leader
--- a/src/leader/pipelines.cpp
+++ b/src/leader/pipelines.cpp
@@ -9,6 +9,7 @@
 using model::Job;
 using model::JobFact;
 using queue::task_s;
+using state::FlushDelay;
 
 namespace {
 // A job's tasks take longer than guessed and not equally long; the next stage waits for the last one.
@@ -98,14 +99,16 @@
 // A few at a time, behind all else: what the records say decides already, and a cancellation of hundreds must
 // not hold up what tasks wait for.
 void Leader::write_cancelled() {
-  for (std::size_t room = most_writes_ / 2; room > 0 && !to_cancel_.empty(); --room) {
-    if (intents_.size() >= most_writes_ || ports_.store.writes_to_spare() < static_cast<double>(room)) return;
+  for (std::size_t room = writes_.batch_limit() / 2; room > 0 && !to_cancel_.empty(); --room) {
+    if (writes_.size() >= writes_.batch_limit() || ports_.store.writes_to_spare() < static_cast<double>(room))
+      return;
     const auto job = jobs_.find(to_cancel_.front());
     to_cancel_.pop_front();
     if (job == jobs_.end() || job->second.over()) continue;
-    store(wire::job_key(job->first),
-          final_json(record_of(job->second), wire::JobPhase::cancelled, loop().wall(), value_bytes_),
-          Patience::tidying);
+    writes_.store(
+        wire::job_key(job->first),
+        final_json(record_of(job->second), wire::JobPhase::cancelled, loop().wall(), writes_.value_limit()),
+        FlushDelay::garbage);
   }
 }
 
@@ -135,7 +138,7 @@
 
 void Leader::drop_waits_parts(const wire::JobId& id, std::uint32_t parts) {
   for (std::uint32_t part = 0; part < parts; ++part)
-    store(wire::waits_key(id, part), std::nullopt, Patience::tidying);
+    writes_.store(wire::waits_key(id, part), std::nullopt, FlushDelay::garbage);
 }
 
 // What is left of jobs that ended while nobody led.
@@ -144,7 +147,8 @@
        entry != view_.entries().end() && entry->first.starts_with(wire::kWaits); ++entry) {
     const auto name = entry->first.substr(wire::kWaits.size());
     const auto job = jobs_.find(wire::JobId{name.substr(0, name.find('/'))});
-    if (job == jobs_.end() || job->second.over()) store(entry->first, std::nullopt, Patience::tidying);
+    if (job == jobs_.end() || job->second.over())
+      writes_.store(entry->first, std::nullopt, FlushDelay::garbage);
   }
 }
 
--- a/src/leader/placement.cpp
+++ b/src/leader/placement.cpp
@@ -13,6 +13,7 @@
 using model::Machine;
 using queue::kNoRoom;
 using queue::task_s;
+using state::FlushDelay;
 using wire::Order;
 using wire::Verb;
 
@@ -104,7 +105,7 @@
   for (const auto& item : settings_.teams) used[item.name] = team_use(item.name);
   const auto record = bounds_.next(used, term_, lower);
   if (!record) return;
-  store(wire::kBoundsKey, to_json(*record), Patience::awaited, [this] {
+  writes_.store(wire::kBoundsKey, to_json(*record), FlushDelay::awaited, [this] {
     bounds_.written();
     place_soon();
   });
--- a/src/leader/reports.cpp
+++ b/src/leader/reports.cpp
@@ -12,6 +12,7 @@
 using model::Leftover;
 using model::Machine;
 using queue::task_s;
+using state::FlushDelay;
 using wire::ExitCause;
 using wire::MemberPhase;
 using wire::Order;
@@ -560,7 +561,7 @@
   note(job);
   ++tally_["tasks done"];
   if (job.finished < job.spec.members)
-    return store_bucket(bucket_for(job, index / wire::kFinishedChunk), Patience::exits, std::move(then));
+    return store_bucket(bucket_for(job, index / wire::kFinishedChunk), FlushDelay::exits, std::move(then));
   log_->debug("job {}: all {} tasks done, {:.1f} s after acceptance ({} guessed {:.1f} s each)",
               job.spec.uid.value, job.spec.members, loop().wall() - job.accepted_at, job.spec.queue,
               job.spec.guess_s);
@@ -569,9 +570,9 @@
 }
 
 void Leader::write_done(const Job& job, Then then) {
-  store(wire::job_key(job.spec.uid),
-        final_json(record_of(job), wire::JobPhase::done, loop().wall(), value_bytes_),
-        waits_.awaited(job.spec.uid) ? Patience::awaited : Patience::none, std::move(then));
+  writes_.store(wire::job_key(job.spec.uid),
+                final_json(record_of(job), wire::JobPhase::done, loop().wall(), writes_.value_limit()),
+                waits_.awaited(job.spec.uid) ? FlushDelay::awaited : FlushDelay::none, std::move(then));
 }
 
 void Leader::stop(Machine& machine, Bind& bind, double wind_down_s) {
--- a/src/runtime/actor.hpp
+++ b/src/runtime/actor.hpp
@@ -2,10 +2,10 @@
 #pragma once
 
 #include <deque>
-#include <memory>
 #include <utility>
 #include <variant>
 
+#include "runtime/lifetime.hpp"
 #include "runtime/loop.hpp"
 
 namespace bankhill::runtime {
@@ -36,9 +36,7 @@
   // Wraps a callback so that it does nothing once the actor is gone.
   template <class Work>
   auto guard(Work work) {
-    return [alive = std::weak_ptr<int>(alive_), work = std::move(work)](auto&&... arguments) mutable {
-      if (alive.lock()) work(std::forward<decltype(arguments)>(arguments)...);
-    };
+    return lifetime_.guard(std::move(work));
   }
 
  private:
@@ -52,7 +50,7 @@
   Loop& loop_;
   std::deque<Message> mailbox_;
   bool scheduled_ = false;
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+  Lifetime lifetime_;
 };
 
 }  // namespace bankhill::runtime
