--- a/src/leader/fleet.cpp
+++ b/src/leader/fleet.cpp
@@ -10,6 +10,7 @@
 
 using model::Machine;
 using queue::task_s;
+using state::FlushDelay;
 
 namespace {
 constexpr double kMemory = 4;  // rounds after which a boot or a reclaim counts a third: a wave passes
@@ -138,13 +139,13 @@
   ports.send_to_cloud = [this](cloud::Cloud::Message message) { ports_.cloud.tell(std::move(message)); };
   ports.machine_type = [this](const std::string& name) { return flavor(name); };
   ports.store_request = [this](const std::string& name, const wire::RentalRecord& record, Then stored) {
-    store(wire::rental_key(name), to_json(record), Patience::none, std::move(stored));
+    writes_.store(wire::rental_key(name), to_json(record), FlushDelay::none, std::move(stored));
   };
   ports.store_machines = [this](const std::string& name, const wire::RentalRecord& record) {
-    store(wire::rental_key(name), to_json(record), Patience::machines);
+    writes_.store(wire::rental_key(name), to_json(record), FlushDelay::machines);
   };
   ports.remove_record = [this](const std::string& name) {
-    store(wire::rental_key(name), std::nullopt, Patience::tidying);
+    writes_.store(wire::rental_key(name), std::nullopt, FlushDelay::garbage);
   };
   ports.terminating = [this](const Machine& machine) { replicas_fail(machine); };
   ports.terminated = [this](const wire::HostId& machine_id) { forget_machine(machine_id); };
@@ -165,7 +166,7 @@
   ports.placeable_tasks = [this](const model::Job& job) { return placeable(job); };
   ports.is_gang = [this](const wire::JobId& id) { return replicas_.follows(id); };
   ports.core_limit = [this](const std::string& name) -> std::optional<double> {
-    const auto* owner = team(name);
+    const auto* owner = quota_.find_team(name);
     if (owner == nullptr) return std::nullopt;
     return owner->limit.cores;
   };
--- a/src/leader/placement.cpp
+++ b/src/leader/placement.cpp
@@ -13,6 +13,7 @@
 using model::Machine;
 using queue::kNoRoom;
 using queue::task_s;
+using state::FlushDelay;
 using wire::Order;
 using wire::Verb;
 
@@ -86,7 +87,7 @@
 void Leader::write_bounds(bool lower) {
   const auto record = quota_.next_record(fleet_.total().unconfirmed_size, term_, lower);
   if (!record) return;
-  store(wire::kBoundsKey, to_json(*record), Patience::awaited, [this] {
+  writes_.store(wire::kBoundsKey, to_json(*record), FlushDelay::awaited, [this] {
     quota_.record_stored();
     place_soon();
   });
--- a/src/runtime/lifetime.hpp
+++ b/src/runtime/lifetime.hpp
@@ -1,4 +1,4 @@
-// Ties callbacks to the object that they refer to.
+// Callbacks that must not run once the object that issued them is gone.
 #pragma once
 
 #include <memory>
@@ -6,18 +6,18 @@
 
 namespace bankhill::runtime {
 
-// A member of an object whose callbacks may outlive it.
+// A member of the object whose callbacks it guards.
 class Lifetime {
  public:
   Lifetime() = default;
   Lifetime(const Lifetime&) = delete;
   Lifetime& operator=(const Lifetime&) = delete;
 
-  // Wraps a callback so that it does nothing once this object is gone.
-  template <class Work>
-  auto guard(Work work) {
-    return [alive = std::weak_ptr<int>(alive_), work = std::move(work)](auto&&... arguments) mutable {
-      if (alive.lock()) work(std::forward<decltype(arguments)>(arguments)...);
+  // Wraps a callback so that it does nothing once this object is destroyed.
+  template <class Callback>
+  auto guard(Callback callback) const {
+    return [alive = std::weak_ptr<int>(alive_), callback = std::move(callback)](auto&&... arguments) mutable {
+      if (alive.lock()) callback(std::forward<decltype(arguments)>(arguments)...);
     };
   }
 
