--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -51,7 +51,7 @@
   net::EvhttpClient to_workers(loop, log, settings.share_of_sockets(settings.own.direct_sockets));
   std::vector<net::Sibling> siblings;
   for (const auto& sibling : settings.siblings) siblings.push_back({sibling.host_name, sibling.addr});
-  net::PeerLink peers(loop, log, settings.host_name, incarnation, settings.peer_listen, std::move(siblings),
+  net::PeerLink peers(loop, log, settings.host_name, incarnation, settings.peer_listen, siblings,
                       settings.pace_s);
   app::Node node(loop, log, settings, incarnation, client, to_workers, peers);
   // Workers and users may be silent between requests for several report intervals.
@@ -86,9 +86,8 @@
   return kExitFailure;
 }
 
-}  // namespace
-
-int main(int argc, char** argv) {
+// The whole program; returns its exit code. What it throws, main() tells.
+int run(int argc, char** argv) {
   CLI::App program{"bankhill: a cluster scheduler that rents its machines"};
   program.set_version_flag("--version", std::string("bankhill ") + BANKHILL_VERSION);
   std::string config;
@@ -117,31 +116,38 @@
   program.require_subcommand(0, 1);
   CLI11_PARSE(program, argc, argv);
 
+  if (*submit) {
+    auto object = wire::parse_object(app::read_file(file));
+    if (!waits_on.empty() && !object["waits_on"].is_array()) object["waits_on"] = wire::Json::array();
+    for (const auto& id : waits_on) object["waits_on"].push_back(id);
+    const auto job = wire::parse_job(object);
+    return ask(server, net::Method::post, "/submissions", to_json(job).dump());
+  }
+  if (*status || *withdraw) {
+    if (!wire::parse_job_id(uid)) throw app::BadSettings("not a job's id: " + uid);
+    return *status ? ask(server, net::Method::get, "/submissions/" + uid, "")
+                   : ask(server, net::Method::post, "/submissions/" + uid + "/withdraw", "{}");
+  }
+  if (config.empty()) throw app::BadSettings("--config is missing; see --help");
+  const auto settings = load(config, operator_config);
+  if (check) {
+    if (const auto tenant = app::too_large_tenant(settings))
+      throw app::BadSettings("operator settings: the policy of team '" + *tenant +
+                             "' takes more than one value of the state service");
+    std::cout << settings.cancel_budget().describe() << "\n";
+    if (settings.policy) std::cout << settings.policy->describe(wall_now());
+    std::cout << "settings are fine\n";
+    return 0;
+  }
+  serve(settings);
+  return kExitFailure;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
   try {
-    if (*submit) {
-      auto object = wire::parse_object(app::read_file(file));
-      if (!waits_on.empty() && !object["waits_on"].is_array()) object["waits_on"] = wire::Json::array();
-      for (const auto& id : waits_on) object["waits_on"].push_back(id);
-      const auto job = wire::parse_job(object);
-      return ask(server, net::Method::post, "/submissions", to_json(job).dump());
-    }
-    if (*status || *withdraw) {
-      if (!wire::parse_job_id(uid)) throw app::BadSettings("not a job's id: " + uid);
-      return *status ? ask(server, net::Method::get, "/submissions/" + uid, "")
-                     : ask(server, net::Method::post, "/submissions/" + uid + "/withdraw", "{}");
-    }
-    if (config.empty()) throw app::BadSettings("--config is missing; see --help");
-    const auto settings = load(config, operator_config);
-    if (check) {
-      if (const auto tenant = app::too_large_tenant(settings))
-        throw app::BadSettings("operator settings: the policy of team '" + *tenant +
-                               "' takes more than one value of the state service");
-      std::cout << settings.cancel_budget().describe() << "\n";
-      if (settings.policy) std::cout << settings.policy->describe(wall_now());
-      std::cout << "settings are fine\n";
-      return 0;
-    }
-    serve(settings);
+    return run(argc, argv);
   } catch (const app::BadSettings& error) {
     std::cerr << "bankhill: " << error.what() << "\n";
     return kExitSettings;
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-Node::Node(runtime::Loop& loop, runtime::Log log, const Settings& settings, std::uint64_t incarnation,
+Node::Node(runtime::Loop& loop, const runtime::Log& log, const Settings& settings, std::uint64_t incarnation,
            net::Client& client, net::Client& workers, net::PeerPort& peers)
     : spread_workers_(settings.own.spread_workers),
       store_(loop, client, log, settings.state,
--- a/src/app/node.hpp
+++ b/src/app/node.hpp
@@ -20,7 +20,7 @@
 class Node {
  public:
   // `client` asks the state service and the cloud, `workers` the workers.
-  Node(runtime::Loop& loop, runtime::Log log, const Settings& settings, std::uint64_t incarnation,
+  Node(runtime::Loop& loop, const runtime::Log& log, const Settings& settings, std::uint64_t incarnation,
        net::Client& client, net::Client& workers, net::PeerPort& peers);
   void start();
   // Serves a request of a user, a worker or the load balancer.
--- a/src/calendar/outlook.cpp
+++ b/src/calendar/outlook.cpp
@@ -86,9 +86,9 @@
 }
 
 const std::string& Outlook::reason(const std::string& owner, double cutoff) const {
-  static const std::string none;
+  static const std::string kNone;
   const auto known = told_.find({owner, cutoff});
-  return known == told_.end() || known->second.state == State::on_time ? none : known->second.text;
+  return known == told_.end() || known->second.state == State::on_time ? kNone : known->second.text;
 }
 
 }  // namespace bankhill::calendar
--- a/src/net/evhttp_server.cpp
+++ b/src/net/evhttp_server.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxHeaders = 16 * 1024;
+constexpr std::size_t kMaxHeaders = std::size_t{16} * 1024;
 // A body somewhat above the limit is read and answered 413: closed in the middle, its sender often sees a
 // reset instead of the answer. Beyond this the connection is closed.
 constexpr std::size_t kBodyRead = 4;
@@ -104,8 +104,8 @@
 
 EvhttpServer::Kind EvhttpServer::count(evhttp_request* raw, const std::string& path) {
   auto* connection = evhttp_request_get_connection(raw);
-  if (connection == nullptr) return user;
-  const auto [entry, added] = connections_.try_emplace(connection, path == "/v1/report" ? worker : user);
+  if (connection == nullptr) return kUser;
+  const auto [entry, added] = connections_.try_emplace(connection, path == "/v1/report" ? kWorker : kUser);
   if (!added) return entry->second;
   ++shares_[entry->second].open;
   evhttp_connection_set_closecb(
--- a/src/net/evhttp_server.hpp
+++ b/src/net/evhttp_server.hpp
@@ -26,10 +26,10 @@
   // Throws std::runtime_error when the address cannot be bound.
   EvhttpServer(runtime::EventLoop& loop, runtime::Log log, const std::string& address, double idle_timeout_s,
                SocketShares shares, Handler handler);
-  std::size_t worker_connections() const { return shares_[worker].open; }
+  std::size_t worker_connections() const { return shares_[kWorker].open; }
 
  private:
-  enum Kind { worker, user };
+  enum Kind { kWorker, kUser };
   struct Share {
     const char* name;
     std::size_t most = 1;
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -30,7 +30,7 @@
 }  // namespace
 
 PeerLink::PeerLink(runtime::EventLoop& loop, runtime::Log log, std::string self, std::uint64_t incarnation,
-                   const std::string& listen_address, std::vector<Sibling> siblings, double silence_s)
+                   const std::string& listen_address, const std::vector<Sibling>& siblings, double silence_s)
     : loop_(loop),
       log_(std::move(log)),
       self_(std::move(self)),
@@ -46,7 +46,7 @@
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, -1, reinterpret_cast<const sockaddr*>(&address),
       length));
   if (!listener_) throw std::runtime_error("cannot listen on " + listen_address);
-  for (auto& sibling : siblings) {
+  for (const auto& sibling : siblings) {
     auto dialled = std::make_unique<Dialled>();
     dialled->link = this;
     dialled->sibling = sibling;
--- a/src/net/peer_link.hpp
+++ b/src/net/peer_link.hpp
@@ -24,7 +24,7 @@
  public:
   // `silence_s`: a connection without any frame for this long is dialled anew.
   PeerLink(runtime::EventLoop& loop, runtime::Log log, std::string self, std::uint64_t incarnation,
-           const std::string& listen_address, std::vector<Sibling> siblings, double silence_s);
+           const std::string& listen_address, const std::vector<Sibling>& siblings, double silence_s);
   ~PeerLink() override;
   bool send(const std::string& node, const wire::Frame& frame) override;
   void listen(std::function<void(const std::string&, wire::Frame)> receiver) override;
--- a/src/policy/file.cpp
+++ b/src/policy/file.cpp
@@ -1,5 +1,6 @@
 // The section `tenants` of the operators' YAML. Every fault is named with its line: the file is written by
 // hand, and what is only nearly right would be found out at a cutoff.
+#include <fmt/format.h>
 #include <yaml-cpp/yaml.h>
 
 #include <algorithm>
@@ -53,8 +54,8 @@
   for (const auto& entry : node) {
     const auto name = text(entry.first, "a key of " + what);
     const auto member = known.find(name);
-    if (member == known.end()) fail(entry.first, "unknown key '" + name + "' in " + what);
-    if (!seen.insert(name).second) fail(entry.first, "'" + name + "' stands twice in " + what);
+    if (member == known.end()) fail(entry.first, fmt::format("unknown key '{}' in {}", name, what));
+    if (!seen.insert(name).second) fail(entry.first, fmt::format("'{}' stands twice in {}", name, what));
     member->second(entry.second);
   }
 }
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -27,8 +27,8 @@
 }
 
 const Json& list_field(const Json& object, const char* name) {
-  static const Json none = Json::array();
-  if (wire::absent(object, name)) return none;
+  static const Json kNone = Json::array();
+  if (wire::absent(object, name)) return kNone;
   if (!object[name].is_array()) throw Malformed(std::string("field '") + name + "' is not a list");
   return object[name];
 }
@@ -128,13 +128,13 @@
 }
 
 Json to_json(const TenantPolicy& tenant) {
-  static const TenantPolicy usual;
+  static const TenantPolicy kUsual;
   Json object = Json::object();
   for (const auto& rules : tenant.calendars) object["calendars"].push_back(to_json(rules));
   for (const auto& rule : tenant.rules) object["tiers"].push_back(to_json(rule));
   if (!tenant.refreshes.empty()) object["refreshes"] = tenant.refreshes;
-  if (tenant.tier_floor != usual.tier_floor) object["tier_floor"] = tenant.tier_floor;
-  if (tenant.tier_ages_s != usual.tier_ages_s) object["tier_ages_s"] = tenant.tier_ages_s;
+  if (tenant.tier_floor != kUsual.tier_floor) object["tier_floor"] = tenant.tier_floor;
+  if (tenant.tier_ages_s != kUsual.tier_ages_s) object["tier_ages_s"] = tenant.tier_ages_s;
   for (const auto& [queue, span] : tenant.spans) object["spans"][queue] = span;
   return object;
 }
--- a/src/wire/frames.hpp
+++ b/src/wire/frames.hpp
@@ -17,7 +17,7 @@
 
 constexpr std::uint16_t kFrameMagic = 0x4248;  // "BH"
 constexpr std::uint8_t kFrameVersion = 1;
-constexpr std::size_t kMaxFrame = 256 * 1024;
+constexpr std::size_t kMaxFrame = std::size_t{256} * 1024;
 
 // An unsigned number in network byte order without alignment: structs of these have no padding.
 template <class T>
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kMaxBody = 64 * 1024;
+constexpr std::size_t kMaxBody = std::size_t{64} * 1024;
 constexpr std::uint32_t kMaxMembers = 100'000;
 
 // A message that breaks the protocol; what() names the field.
--- a/src/workers/desk.cpp
+++ b/src/workers/desk.cpp
@@ -41,7 +41,7 @@
 
 Desk::Desk(runtime::Loop& loop, runtime::Log log, DeskSettings settings, Ports ports)
     : Actor(loop),
-      log_(log),
+      log_(std::move(log)),
       settings_(std::move(settings)),
       ports_(std::move(ports)),
       courier_(loop, loop.random()() >> 1, timing(settings_),
