--- a/tests/deaf_test.cpp
+++ b/tests/deaf_test.cpp
@@ -6,41 +6,13 @@
 #include <iostream>
 #include <set>
 
+#include "sim/jobs.hpp"
+#include "sim/scenario.hpp"
 #include "sim/world.hpp"
 
 namespace bankhill::sim {
 namespace {
 
-SimJob batch(std::uint32_t members, double cores, double run_s) {
-  SimJob job;
-  job.spec.queue = "any";
-  job.spec.owner = "red";
-  job.spec.members = members;
-  job.spec.need = {cores, 0, 2};
-  job.spec.bundle = "img-1";
-  job.spec.size_gb = 1;
-  job.spec.guess_s = job.run_s = run_s;
-  job.spec.flavors = std::vector<std::string>{"small"};
-  job.kept = true;
-  return job;
-}
-
-SimJob services(std::uint32_t members, double cores) {
-  auto job = batch(members, cores, 0);
-  job.spec.owner = "blue";
-  job.spec.shape = wire::Shape::daemon;
-  job.spec.rank = wire::Rank::high;
-  return job;
-}
-
-int running(World& world, const std::string& uid) {
-  std::set<std::uint32_t> up;
-  for (const auto& [host, machine] : world.machines())
-    for (const auto& [member, task] : machine.tasks)
-      if (member.job.value == uid && machine.on(member, world.now(), 20)) up.insert(member.index);
-  return static_cast<int>(up.size());
-}
-
 struct Figures {
   std::uint64_t lost = 0;   // starts
   std::uint64_t worst = 0;  // of one machine
@@ -54,7 +26,7 @@
 Figures play(World& world, double share, const std::function<void(World&)>& also = {}) {
   Figures figures;
   world.run(5);
-  const auto uid = world.submit(services(8, 1.5));
+  const auto uid = world.submit(high_service(8, 1.5));
   double next_batch = 10;
   constexpr double kBegin = 70;
   world.at(kBegin, [&] {
@@ -69,9 +41,9 @@
   std::vector<std::string> batches;
   for (double until = 10; until < kBegin + 300; until += 0.5) {
     world.run(until);
-    if (until >= kBegin) figures.down_s += 0.5 * (8 - running(world, uid));
+    if (until >= kBegin) figures.down_s += 0.5 * (8 - running_tasks(world, uid));
     if (until >= next_batch && until < kBegin + 240) {
-      batches.push_back(world.submit(batch(4, 1, 6)));
+      batches.push_back(world.submit(small_batch(4, 1, 6)));
       next_batch += 8;
     }
   }
@@ -113,7 +85,7 @@
   const auto figures = play(world, share, [&, crash_all = all](World& at) {
     for (int node = 0; node < at.nodes(); ++node)
       if (crash_all || node == at.leader()) at.crash(node, 2);
-    at.at(at.now() + 110, [&] { up = running(at, "job-000000"); });  // 30 s before they hear again
+    at.at(at.now() + 110, [&] { up = running_tasks(at, "job-000000"); });  // 30 s before they hear again
   });
   EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
   EXPECT_EQ(figures.done, figures.batches);
@@ -127,8 +99,8 @@
 struct Site {
   explicit Site(std::uint64_t seed, int controllers = 3) : world(seed, controllers) {
     world.run(5);
-    uid = world.submit(services(8, 1.5));  // within the guarantee: batches do not take their room
-    for (int i = 0; i < 3; ++i) world.submit(batch(4, 1, 400));
+    uid = world.submit(high_service(8, 1.5));  // within the guarantee: batches do not take their room
+    for (int i = 0; i < 3; ++i) world.submit(small_batch(4, 1, 400));
     world.run(50);
     for (const auto& [host, machine] : world.machines())
       if (machine.up && !machine.tasks.empty()) hosts.push_back(host);
@@ -157,15 +129,15 @@
     Site site(seed);
     auto& world = site.world;
     ASSERT_GE(site.hosts.size(), 3U);
-    ASSERT_EQ(running(world, site.uid), 8);
+    ASSERT_EQ(running_tasks(world, site.uid), 8);
     const auto host = site.hosts.front();
     world.machines().at(host).deaf_until = 1e9;
     world.run(85);
-    EXPECT_EQ(running(world, site.uid), 8) << seed;
+    EXPECT_EQ(running_tasks(world, site.uid), 8) << seed;
     double next = 86;
     for (double until = 86; until < 150; until += 1) {
       world.run(until);
-      if (until >= next) world.submit(batch(4, 1, 6)), next += 4;
+      if (until >= next) world.submit(small_batch(4, 1, 6)), next += 4;
     }
     EXPECT_LE(world.lost_starts[host], 3U) << "seed " << seed;
     EXPECT_FALSE(world.machines().contains(host)) << "seed " << seed << ": kept for ever";
@@ -181,7 +153,7 @@
     World world(seed, 3);
     const auto flow = [&world](double until) {
       while (world.now() < until) {
-        world.submit(batch(8, 1, 5));
+        world.submit(small_batch(8, 1, 5));
         world.run(world.now() + 2.5);
       }
     };
@@ -197,7 +169,7 @@
     EXPECT_TRUE(world.machines().at(host).tasks.empty());
     EXPECT_LE(world.lost_starts[host], 8U) << "seed " << seed;
     const auto lost = world.lost_starts[host];
-    world.submit(batch(36, 1, 40));
+    world.submit(small_batch(36, 1, 40));
     world.run(105);
     ASSERT_TRUE(world.machines().contains(host)) << "seed " << seed;
     EXPECT_FALSE(world.machines().at(host).tasks.empty()) << "seed " << seed << ": not used again";
@@ -220,7 +192,7 @@
     }
     EXPECT_EQ(world.keys().at(wire::kTermKey).stamp, term) << "seed " << seed << ": another reign";
     world.run(200);
-    EXPECT_EQ(running(world, site.uid), 8);
+    EXPECT_EQ(running_tasks(world, site.uid), 8);
     EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
   }
 }
@@ -277,15 +249,15 @@
         if (other != sick)
           world.cut("node-" + std::to_string(sick), "node-" + std::to_string(other), 60, false);
     world.run(52);
-    world.submit(batch(8, 1, 5));
+    world.submit(small_batch(8, 1, 5));
     world.run(100);
     EXPECT_EQ(site.kept(), static_cast<int>(site.hosts.size())) << "kind " << kind;
     EXPECT_EQ(world.starts(), starts + 8) << "kind " << kind;
     EXPECT_TRUE(world.jobs().at("job-000004").told_done) << "kind " << kind;
-    EXPECT_EQ(running(world, site.uid), 8);
+    EXPECT_EQ(running_tasks(world, site.uid), 8);
     EXPECT_EQ(world.leader(), site.leader);
     // All that are there take tasks.
-    world.submit(batch(60, 1, 100));
+    world.submit(small_batch(60, 1, 100));
     world.run(125);
     for (const auto& host : site.hosts)
       EXPECT_FALSE(world.machines().at(host).tasks.empty()) << "kind " << kind << ": " << host;
--- a/tests/known_test.cpp
+++ b/tests/known_test.cpp
@@ -5,26 +5,14 @@
 #include <random>
 
 #include "model/waits.hpp"
+#include "sim/scenario.hpp"
+#include "sim/transactions.hpp"
 #include "sim/world.hpp"
 #include "wire/frames.hpp"
 
 namespace bankhill::sim {
 namespace {
 
-SimJob batch(std::uint32_t members, double run_s, std::vector<std::string> needs = {}) {
-  SimJob job;
-  job.spec.queue = "any";
-  job.spec.owner = "red";
-  job.spec.members = members;
-  job.spec.need = {1, 0, 1};
-  job.spec.bundle = "img-1";
-  job.spec.size_gb = 1;
-  job.spec.guess_s = job.run_s = run_s;
-  for (auto& need : needs) job.spec.waits_on.push_back({std::move(need)});
-  job.kept = true;
-  return job;
-}
-
 SimJob service(std::uint32_t members) {
   auto job = batch(members, 1000);
   job.spec.shape = wire::Shape::daemon;
@@ -55,10 +43,6 @@
   }
 }
 
-void restart_all(World& world) {
-  for (int node = 0; node < world.nodes(); ++node) world.crash(node, 1);
-}
-
 class Known : public testing::TestWithParam<int> {};
 INSTANTIATE_TEST_SUITE_P(Controllers, Known, testing::Values(3, 5));
 
@@ -86,7 +70,7 @@
   world.tamper(wire::job_key({wholly}), "?");
   world.jobs().at(wholly).accepted = false;  // not even its phase is left: nothing is told of it
   for (const bool fresh : {false, true}) {
-    if (fresh) restart_all(world);
+    if (fresh) crash_all(world, 1);
     world.run(world.now() + 10);
     for (const auto& uid : {done, later, fine, partly, waits}) expect_known(world, uid, 10);
     EXPECT_EQ(world.ask(0, poll(wholly)).status, 503);
@@ -127,7 +111,7 @@
   world.tamper(wire::kCatalogueKey, "?");
   world.tamper(wire::kCatalogueParts + "0", wire::Json::array());
   world.tamper(wire::kWaits + "job-000000/0", 3);
-  restart_all(world);
+  crash_all(world, 1);
   world.run(50);
   expect_known(world, uid, 10);
   world.run(140);
@@ -168,7 +152,7 @@
   world.tamper(keys.front(), 7);
   stuck->second.hung_until = world.now() + 14;
   world.cloud_outage(60);  // whose list names it too
-  restart_all(world);
+  crash_all(world, 1);
   world.run(world.now() + 60);
   EXPECT_EQ(world.leaders(), 1);
   EXPECT_EQ(world.starts(), 4U);
@@ -187,7 +171,7 @@
     world.run(world.now() + 10);
     EXPECT_EQ(world.leaders(), 0);
     expect_known(world, uid, 5);
-    restart_all(world);
+    crash_all(world, 1);
     world.run(world.now() + 10);
     EXPECT_EQ(world.leaders(), 0);
     expect_known(world, uid, 5);
@@ -210,7 +194,7 @@
   const auto live = world.submit(batch(1, 200));
   world.run(60);
   for (const auto& uid : jobs) ASSERT_TRUE(world.jobs().at(uid).told_done);
-  world.no_puts = true;
+  world.state_service().writes_exhausted = true;
   for (int i = 0; i < 400; ++i) world.submit(batch(1, 1));  // until the controllers know it
   world.run(70);
   for (const auto& uid : jobs)
@@ -221,7 +205,7 @@
     }
   for (const auto& uid : jobs) expect_known(world, uid, 0);
   expect_known(world, live, 0);
-  EXPECT_GT(world.puts_refused, 0U);
+  EXPECT_GT(world.state_service().writes_refused, 0U);
   for (int node = 0; node < world.nodes(); ++node) {
     const auto response = world.ask(node, again(world, "job-000100"));
     EXPECT_EQ(response.status, 503) << "new ones are told when to come back";
@@ -245,7 +229,7 @@
   world.run(74.5);
   world.submit(batch(1, 1));  // what questions brought back into memory leaves it again
   world.run(75);
-  for (const auto& uid : old) world.unread.insert(wire::job_key({uid}));
+  for (const auto& uid : old) world.state_service().unreadable.insert(wire::job_key({uid}));
   std::vector<std::string> stuck;
   for (const auto& uid : old) {
     stuck.push_back("job-6" + uid.substr(5));
@@ -263,7 +247,7 @@
   for (const auto& uid : stuck) doubtful += world.ask(0, poll(uid)).status == 503;
   EXPECT_GE(doubtful, 9) << "more than are read at a time";
   world.run(110);
-  world.unread.clear();
+  world.state_service().unreadable.clear();
   world.run(120);
   for (const auto& uid : stuck) expect_known(world, uid, 0);
   EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
@@ -277,7 +261,7 @@
   const auto uid = world.submit(batch(1, 300));
   world.run(30);
   const int deaf = world.leader() == 0 ? 1 : 0;
-  world.deaf_node = deaf;
+  world.state_service().node_without_watches = deaf;
   world.run(60);
   EXPECT_EQ(world.ask(deaf, poll(uid)).status, 200);
   EXPECT_EQ(world.ask(deaf, health()).status, 200);
@@ -287,7 +271,7 @@
   world.run(70);
   EXPECT_EQ(world.ask(deaf, poll(uid)).status, 503);
   EXPECT_EQ(world.ask(deaf, health()).status, 503);
-  world.deaf_node = -1;
+  world.state_service().node_without_watches = -1;
   world.run(90);
   EXPECT_EQ(world.ask(deaf, poll(uid)).status, 200);
   EXPECT_EQ(world.ask(deaf, health()).status, 200);
@@ -303,7 +287,7 @@
   std::vector<std::string> jobs;
   for (int i = 0; i < 12; ++i) jobs.push_back(world.submit(batch(1, i % 2 == 0 ? 1 : 300)));
   world.run(60);
-  world.at_limit = 0.7;
+  world.state_service().share_over_limit = 0.7;
   world.run(80);
   int answered = 0;
   int asked = 0;
@@ -328,7 +312,7 @@
 TEST_P(Known, AcceptedByATransactionWhoseAnswerWasLost) {
   World world(78, GetParam());
   world.run(5);
-  world.unanswered_puts = 2;  // the repetition too
+  world.state_service().unanswered_job_writes = 2;  // the repetition too
   const auto uid = world.submit(batch(2, 3));
   world.run(7);
   EXPECT_TRUE(world.keys().contains(wire::job_key({uid})));
--- a/tests/largest_test.cpp
+++ b/tests/largest_test.cpp
@@ -9,13 +9,17 @@
 
 #include "queue/kept_room.hpp"
 #include "shares/turns.hpp"
+#include "sim/jobs.hpp"
+#include "sim/scenario.hpp"
 #include "sim/world.hpp"
 
 namespace bankhill {
 namespace {
 
+using sim::broke_rule;
 using sim::listing;
 using sim::SimJob;
+using sim::small_batch;
 using sim::World;
 
 model::Job sized(const std::string& kind, std::uint32_t tasks, double cores, double at) {
@@ -136,16 +140,8 @@
 }
 
 SimJob array(const std::string& owner, std::uint32_t members, double cores, double run_s) {
-  SimJob job;
-  job.spec.queue = "any";
-  job.spec.owner = owner;
-  job.spec.members = members;
-  job.spec.need = {cores, 0, 1};
-  job.spec.bundle = "img-1";
-  job.spec.size_gb = 1;
-  job.spec.guess_s = job.run_s = run_s;
-  job.spec.flavors = std::vector<std::string>{"small"};
-  job.kept = true;
+  auto job = small_batch(members, cores, run_s, owner);
+  job.spec.need.ram_gb = 1;
   return job;
 }
 
@@ -155,7 +151,7 @@
   World world;
   std::string large;
   explicit Flood(std::uint64_t seed) : world(seed) {
-    world.most_machines = 3;
+    world.cloud().machine_limit = 3;
     world.run(5);
   }
   void come(const std::string& owner, double until) {
@@ -254,11 +250,6 @@
   flood.expect_begun_in_time();
 }
 
-bool caught(World& world, const std::string& rule) {
-  return std::any_of(world.broken().begin(), world.broken().end(),
-                     [&](const std::string& item) { return item.starts_with(rule); });
-}
-
 TEST(Checker, SeesWhatIsNotServed) {
   World world(53);
   world.run(5);
@@ -272,10 +263,10 @@
   world.submit(never);
   world.run(200);
   world.check_served(240, 0);
-  EXPECT_FALSE(caught(world, "unserved")) << "called late before its time";
+  EXPECT_FALSE(broke_rule(world, "unserved")) << "called late before its time";
   world.run(310);
   world.check_served(240, 0);
-  EXPECT_TRUE(caught(world, "unserved")) << "not begun in time";
+  EXPECT_TRUE(broke_rule(world, "unserved")) << "not begun in time";
   world.broken().clear();
   world.check_served(1000, 0.5);
   EXPECT_NE(listing(world.broken()).find("largest of any: 0"), std::string::npos)
--- a/tests/late_test.cpp
+++ b/tests/late_test.cpp
@@ -5,8 +5,11 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include "free_address.hpp"
 #include "leader/strangers.hpp"
 #include "net/peer_link.hpp"
+#include "sim/jobs.hpp"
+#include "sim/scenario.hpp"
 #include "sim/world.hpp"
 
 namespace bankhill::sim {
@@ -15,31 +18,11 @@
 constexpr double kLease = 20;  // of the simulated site
 constexpr double kReport = 3;
 
-SimJob task_of(double cores, double run_s, std::uint32_t members = 1) {
-  SimJob job;
-  job.spec.queue = "any";
-  job.spec.owner = "red";
-  job.spec.members = members;
-  job.spec.need = {cores, 0, 2};
-  job.spec.bundle = "img-1";
-  job.spec.size_gb = 1;
-  job.spec.flavors = std::vector<std::string>{"small"};
-  job.spec.guess_s = job.run_s = run_s;
-  job.kept = true;
-  return job;
-}
-
-SimJob service_of(double cores, std::uint32_t members) {
-  auto job = task_of(cores, 0, members);
-  job.spec.shape = wire::Shape::daemon;
-  return job;
-}
-
 class Late : public testing::Test {
  protected:
   // One machine, a job that filled it is over, and the report of its time is at hand.
   void one_machine_and_an_old_report(World& world) {
-    world.most_machines = 1;
+    world.cloud().machine_limit = 1;
     world.run(5);
     const auto uid = world.submit(task_of(4, 8));
     ASSERT_TRUE(until(world, 60, [&] { return world.starts() == 1; }));
@@ -51,11 +34,7 @@
     ASSERT_TRUE(world.machines().at(host).tasks.empty());
   }
   static bool until(World& world, double limit, const std::function<bool()>& reached) {
-    while (world.now() < limit && !reached()) world.run(world.now() + 0.1);
-    return reached();
-  }
-  static void crash_all(World& world, double away) {
-    for (int node = 0; node < world.nodes(); ++node) world.crash(node, away);
+    return run_until(world, limit, reached, 0.1);
   }
   // Whether another job finds the machine empty.
   static bool room_is_free(World& world) {
@@ -120,7 +99,7 @@
 // word.
 TEST_F(Late, ACopyConfirmsNothing) {
   World world(18);
-  world.most_machines = 2;
+  world.cloud().machine_limit = 2;
   world.run(5);
   world.submit(service_of(1, 2));
   ASSERT_TRUE(until(world, 40, [&] { return world.starts() == 2; }));
@@ -174,7 +153,7 @@
 TEST_F(Late, AStrayMachineIsUsed) {
   for (const bool reached : {true, false}) {
     World world(22);
-    world.most_machines = 0;
+    world.cloud().machine_limit = 0;
     world.run(5);
     const auto uid = world.submit(task_of(4, 4));
     const auto stray = world.stray_machine("za");
@@ -378,18 +357,6 @@
   }
 }
 
-std::string free_address() {
-  const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  socklen_t length = sizeof address;
-  EXPECT_EQ(::bind(socket, reinterpret_cast<sockaddr*>(&address), length), 0);
-  ::getsockname(socket, reinterpret_cast<sockaddr*>(&address), &length);
-  ::close(socket);
-  return "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
-}
-
 // The process of a sibling was replaced, and nothing told us that our connection to it is of no use: it stays
 // open and swallows what is sent. The new one has dialled us: what is sent from then on reaches it.
 TEST(PeerLinkTest, ASiblingThatIsBackIsDialledAgainThoughTheOldConnectionIsSilent) {
--- a/tests/meetings_answers_test.cpp
+++ b/tests/meetings_answers_test.cpp
@@ -63,16 +63,19 @@
         if (!is_kind(world, kind, write)) return false;
         --left;
         world.at(world.now() + 0.001, [&] {
-          if (left > 0) world.hold_next = nullptr, world.lose_next = wanted;
+          if (left > 0) {
+            world.state_service().delay_next = nullptr;
+            world.state_service().lose_answer_of_next = wanted;
+          }
           switch (static_cast<Sender>(sender)) {
             case Sender::is_behind:
               behind_until = world.now() + 3;
               break;
             case Sender::is_refused:
-              world.refuse(world.lost_by, 1.5);
+              world.refuse(world.state_service().lost_answer_of, 1.5);
               break;
             case Sender::ends:
-              world.crash(world.lost_by, 0.5);
+              world.crash(world.state_service().lost_answer_of, 0.5);
               break;
             default:
               break;
@@ -80,40 +83,28 @@
         });
         return true;
       };
-      world.lose_next = wanted;
+      world.state_service().lose_answer_of_next = wanted;
       world.held_up = [&](const std::string& from, const std::string& to, const std::string&) {
-        const bool late =
-            from == "state" && world.now() < behind_until && to == "node-" + std::to_string(world.lost_by);
+        const bool late = from == "state" && world.now() < behind_until &&
+                          to == "node-" + std::to_string(world.state_service().lost_answer_of);
         return late ? 0.85 : 0.0;
       };
-      for (int node = 0; node < world.nodes(); ++node) {
-        world.operator_files[node] = policy_file(1);
-        world.crash(node, 0);
-      }
-      world.at(20, [&world] {
-        world.operator_files[1] = policy_file(2);
-        world.crash(1, 0.5);
-      });
+      deploy_policies(world);
       for (const double when : {6.0, 14.0, 40.0}) world.at(when, [&world] { submit_some(world); });
       world.at(30, [&world] { world.kill_machines(0.5); });
       for (const double when : {15.0, 40.5}) world.at(when, [&world] { world.deafen_machines(0.7, 8); });
       world.run(70);
-      while (world.now() < 130 && world.lost_answers_count == 0) world.run(world.now() + 1);
-      lost = static_cast<int>(world.lost_answers_count);
+      while (world.now() < 130 && world.state_service().lost_answers == 0) world.run(world.now() + 1);
+      lost = static_cast<int>(world.state_service().lost_answers);
       if (lost == 0) continue;  // not on every day is there such a transaction
       // The next leader reads what is stored.
-      for (int node = 0; node < world.nodes(); ++node) world.crash(node, 1);
-      const auto all_over = [&world] {
-        return std::all_of(world.jobs().begin(), world.jobs().end(),
-                           [&world](const auto& job) { return over(world, job.second); });
-      };
+      crash_all(world, 1);
       world.run(world.now() + 5);
-      for (const double limit = world.now() + 120; world.now() < limit && !all_over();)
-        world.run(world.now() + 5);
+      run_until_all_over(world, 120);
       world.run(world.now() + 10);
       EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
       EXPECT_EQ(world.leaders(), 1);
-      EXPECT_TRUE(all_over());
+      EXPECT_TRUE(all_over(world));
     }
 }
 
@@ -134,14 +125,9 @@
       for (int i = 1; i < 5; ++i) world.at(world.now() + 8 * i, [&world] { submit_some(world); });
       world.at(world.now() + 9 * seed, [&world] { world.crash(std::max(0, world.leader()), 1); });
       world.run(70);
-      const auto all_over = [&world] {
-        return std::all_of(world.jobs().begin(), world.jobs().end(),
-                           [&world](const auto& job) { return over(world, job.second); });
-      };
-      for (const double limit = world.now() + 170; world.now() < limit && !all_over();)
-        world.run(world.now() + 5);
-      EXPECT_GE(world.late_executed, 5U);
-      EXPECT_TRUE(all_over());
+      run_until_all_over(world, 170);
+      EXPECT_GE(world.state_service().committed_late, 5U);
+      EXPECT_TRUE(all_over(world));
       EXPECT_EQ(world.leaders(), 1);
       EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
     }
--- a/tests/meetings_cut_test.cpp
+++ b/tests/meetings_cut_test.cpp
@@ -7,6 +7,7 @@
 #include <set>
 
 #include "sim/jobs.hpp"
+#include "sim/scenario.hpp"
 
 namespace bankhill::sim {
 namespace {
@@ -14,20 +15,6 @@
 constexpr double kLease = 20;  // of the simulated site
 constexpr double kCancel = 40;
 
-SimJob batch(std::uint32_t members, double cores, double run_s, const std::string& owner = "red") {
-  auto job = kept_batch(members, cores, run_s);
-  job.spec.owner = owner;
-  job.spec.flavors = std::vector<std::string>{"small"};
-  return job;
-}
-
-SimJob services(std::uint32_t members, double cores) {
-  auto job = batch(members, cores, 0, "blue");
-  job.spec.shape = wire::Shape::daemon;
-  job.spec.rank = wire::Rank::high;
-  return job;
-}
-
 // BANKHILL_SEEDS: as many instead.
 std::vector<std::uint64_t> seeds(std::uint64_t count) {
   if (const char* more = std::getenv("BANKHILL_SEEDS")) count = std::stoull(more);
@@ -38,10 +25,6 @@
 
 std::string name(int node) { return "node-" + std::to_string(node); }
 
-std::uint64_t term(const World& world) {
-  return wire::count_field(world.keys().at(wire::kTermKey).data, "n");
-}
-
 // Hosts with a task of the job on them.
 std::set<std::string> hosts_of(World& world, const std::string& uid) {
   std::set<std::string> hosts;
@@ -51,19 +34,6 @@
   return hosts;
 }
 
-int running(World& world, const std::string& uid) {
-  std::set<std::uint32_t> up;
-  for (const auto& [host, machine] : world.machines())
-    for (const auto& [member, task] : machine.tasks)
-      if (member.job.value == uid && machine.on(member, world.now(), kLease)) up.insert(member.index);
-  return static_cast<int>(up.size());
-}
-
-bool until(World& world, double limit, const std::function<bool()>& reached) {
-  while (world.now() < limit && !reached()) world.run(world.now() + 0.05);
-  return reached();
-}
-
 void cut_direct(World& world, const std::string& host, double seconds, bool hold) {
   for (int node = 0; node < world.nodes(); ++node) world.cut(name(node), host, seconds, hold);
 }
@@ -88,13 +58,13 @@
                    ", cut for " + std::to_string(length));
       World world(seed, controllers);
       world.run(5);
-      const auto service = world.submit(services(4, 1.5));
-      const auto doomed = world.submit(batch(6, 1, 300));
-      const auto other = world.submit(batch(4, 1, 90));
-      const auto room = world.submit(batch(8, 1, 300));
+      const auto service = world.submit(high_service(4, 1.5));
+      const auto doomed = world.submit(small_batch(6, 1, 300));
+      const auto other = world.submit(small_batch(4, 1, 90));
+      const auto room = world.submit(small_batch(8, 1, 300));
       world.run(45);
       world.cancel(room);
-      ASSERT_TRUE(until(world, 60, [&] { return running(world, room) == 0; }));
+      ASSERT_TRUE(run_until(world, 60, [&] { return running_tasks(world, room) == 0; }));
       const int old = world.leader();
       ASSERT_GE(old, 0);
       // Its starts come late; the machines hear of the next leader with their own reports only.
@@ -102,15 +72,15 @@
       for (const auto& [host, machine] : world.machines())
         for (int node = 0; node < world.nodes(); ++node)
           world.cut(name(node), host, node == old ? held : 8, true);
-      const auto own = world.submit(batch(8, 1, 15));
+      const auto own = world.submit(small_batch(8, 1, 15));
       world.run(world.now() + 0.02 + moment / 10);
       const double cut = world.now();
-      const auto old_term = term(world);
+      const auto old_term = stored_term(world);
       std::uint64_t reports = 0;
       std::uint64_t granted = 0;
       auto inner = world.to_node;
       world.to_node = [&](int node, net::Request request, net::Reply reply) {
-        const bool late = node == old && request.path == "/v1/report" && term(world) > old_term &&
+        const bool late = node == old && request.path == "/v1/report" && stored_term(world) > old_term &&
                           world.now() < cut + length - 1;
         reports += late ? 1 : 0;
         // Users who come with a job just after the cut come to the old one.
@@ -127,7 +97,7 @@
         world.cancel(doomed);
       });
       std::string late;
-      world.at(cut + 0.3, [&] { late = world.submit(batch(4, 1, 10)); });
+      world.at(cut + 0.3, [&] { late = world.submit(small_batch(4, 1, 10)); });
       // Users ask the old one what they like; what was committed before they asked is the least it may say.
       std::uint64_t asked = 0;
       const auto ask = [&](net::Method method, const std::string& uid, const std::string& path) {
@@ -159,7 +129,7 @@
           EXPECT_NE(world.leader(), old);
         }
       }
-      EXPECT_TRUE(length < kLease || term(world) > old_term);
+      EXPECT_TRUE(length < kLease || stored_term(world) > old_term);
       EXPECT_TRUE(length < kLease || reports > 10U);
       held_starts += started > 0 ? 1 : 0;
       EXPECT_EQ(granted, 0U) << "it extended leases under another's reign";
@@ -195,16 +165,16 @@
       SCOPED_TRACE("seed " + std::to_string(seed) + ", " + std::to_string(changes) + " changes, outage " +
                    std::to_string(outage));
       World world(seed, controllers);
-      world.large_offered = false;
+      world.cloud().offers_large = false;
       world.run(5);
-      const auto service = world.submit(services(6, 1.5));
-      const auto doomed = world.submit(batch(4, 1, 300));
-      const auto long_one = world.submit(batch(4, 1, 70));
-      auto filler = batch(160, 1, 40, "guest");  // room that can be had without the cloud
+      const auto service = world.submit(high_service(6, 1.5));
+      const auto doomed = world.submit(small_batch(4, 1, 300));
+      const auto long_one = world.submit(small_batch(4, 1, 70));
+      auto filler = small_batch(160, 1, 40, "guest");  // room that can be had without the cloud
       filler.spec.rank = wire::Rank::best_effort;
       world.submit(filler);
       world.run(60);
-      ASSERT_EQ(running(world, service), 6);
+      ASSERT_EQ(running_tasks(world, service), 6);
       std::set<std::string> lost = hosts_of(world, doomed);
       lost.merge(hosts_of(world, long_one));
       const auto serving = hosts_of(world, service);
@@ -223,23 +193,23 @@
       double last = 0;
       for (int i = 0; i < changes; ++i) {
         world.run(world.now() + 0.4 + 3 * i);
-        ASSERT_TRUE(until(world, world.now() + 20, [&] { return world.leader() >= 0; }));
-        terms.insert(term(world));
+        ASSERT_TRUE(run_until(world, world.now() + 20, [&] { return world.leader() >= 0; }));
+        terms.insert(stored_term(world));
         world.crash(world.leader(), 2);
         if (outage && i == 0) world.at(world.now() + 1, [&] { world.state_outage(6); });
       }
-      ASSERT_TRUE(until(world, world.now() + 20, [&] { return world.leader() >= 0; }));
+      ASSERT_TRUE(run_until(world, world.now() + 20, [&] { return world.leader() >= 0; }));
       last = world.now();
-      terms.insert(term(world));
+      terms.insert(stored_term(world));
       EXPECT_EQ(terms.size(), static_cast<std::size_t>(changes) + 1);
       world.run(last + 2 * kLease + 8);
       EXPECT_LT(world.now(), from + length);
-      EXPECT_EQ(running(world, service), 6) << "waits for machines that do not hear";
+      EXPECT_EQ(running_tasks(world, service), 6) << "waits for machines that do not hear";
       EXPECT_GT(world.jobs().at(doomed).told_cancelled, 0);
-      EXPECT_EQ(running(world, doomed), 0);
+      EXPECT_EQ(running_tasks(world, doomed), 0);
       world.run(from + length + 100);
       EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
-      EXPECT_EQ(running(world, service), 6);
+      EXPECT_EQ(running_tasks(world, service), 6);
       EXPECT_TRUE(world.jobs().at(long_one).told_done);
     }
 }
@@ -248,10 +218,10 @@
  protected:
   // On a machine that nobody reaches directly or returns any more.
   static std::string one_long_task(World& world) {
-    world.most_machines = 1;
+    world.cloud().machine_limit = 1;
     world.run(5);
-    const auto uid = world.submit(batch(1, 3, 500));
-    EXPECT_TRUE(until(world, 80, [&] { return running(world, uid) == 1; }));
+    const auto uid = world.submit(small_batch(1, 3, 500));
+    EXPECT_TRUE(run_until(world, 80, [&] { return running_tasks(world, uid) == 1; }));
     world.run(world.now() + 8);
     cut_direct(world, *hosts_of(world, uid).begin(), 200, false);
     world.cloud_outage(200);
@@ -283,7 +253,7 @@
     }
     EXPECT_GE(leaders, 4);
     EXPECT_GT(world.jobs().at(uid).told_cancelled, 0);
-    EXPECT_EQ(running(world, uid), 0);
+    EXPECT_EQ(running_tasks(world, uid), 0);
     EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
   }
 }
@@ -319,7 +289,7 @@
       machine.hung_until = lease - short_of;
       world.run(machine.hung_until);
       const auto fence = machine.fence;
-      until(world, lease, [&] {
+      run_until(world, lease, [&] {
         machine.node = world.leader();
         machine.report_wanted = true;
         return machine.fence > fence;
@@ -341,14 +311,14 @@
   for (const auto seed : seeds(3)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     World world(seed, GetParam());
-    world.large_offered = false;
+    world.cloud().offers_large = false;
     world.run(5);
-    const auto uid = world.submit(services(1, 1.5));
-    auto filler = batch(60, 1, 60, "guest");
+    const auto uid = world.submit(high_service(1, 1.5));
+    auto filler = small_batch(60, 1, 60, "guest");
     filler.spec.rank = wire::Rank::best_effort;
     world.submit(filler);
     world.run(55);
-    ASSERT_EQ(running(world, uid), 1);
+    ASSERT_EQ(running_tasks(world, uid), 1);
     const auto host = *hosts_of(world, uid).begin();
     auto& machine = world.machines().at(host);
     cut_direct(world, host, 200, false);
@@ -358,14 +328,14 @@
     machine.hung_until = lease - 1.3;
     world.run(machine.hung_until);
     const auto fence = machine.fence;
-    ASSERT_TRUE(until(world, lease, [&] {
+    ASSERT_TRUE(run_until(world, lease, [&] {
       machine.node = world.leader();
       return machine.fence > fence;
     }));
     machine.hung_until = 1e9;
     world.run(lease + kLease + 8);
     EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
-    EXPECT_EQ(running(world, uid), 1) << "it waits for a machine that stands still";
+    EXPECT_EQ(running_tasks(world, uid), 1) << "it waits for a machine that stands still";
   }
 }
 
@@ -375,8 +345,8 @@
   for (const auto seed : seeds(3)) {
     World world(seed, GetParam());
     world.run(5);
-    const auto uid = world.submit(services(3, 2));
-    ASSERT_TRUE(until(world, 120, [&] { return running(world, uid) == 3; }));
+    const auto uid = world.submit(high_service(3, 2));
+    ASSERT_TRUE(run_until(world, 120, [&] { return running_tasks(world, uid) == 3; }));
     world.report_delay = 3.3;
     world.run(world.now() + 15);
     for (const auto& host : hosts_of(world, uid)) cut_direct(world, host, 1, false);
@@ -392,9 +362,9 @@
 TEST_P(FirstAnswer, ExtendsNoLeaseOfAMachineThatIsNotKnown) {
   World world(82, GetParam());
   world.run(5);
-  const auto uid = world.submit(services(3, 1));
-  ASSERT_TRUE(until(world, 80, [&] { return running(world, uid) == 3; }));
-  world.submit(batch(8, 1, 300));  // room elsewhere
+  const auto uid = world.submit(high_service(3, 1));
+  ASSERT_TRUE(run_until(world, 80, [&] { return running_tasks(world, uid) == 3; }));
+  world.submit(small_batch(8, 1, 300));  // room elsewhere
   world.run(world.now() + 30);
   const auto host = *hosts_of(world, uid).begin();
   for (const auto& [key, entry] : std::map(world.keys()))
--- a/tests/meetings_gap_test.cpp
+++ b/tests/meetings_gap_test.cpp
@@ -22,7 +22,7 @@
   int old_leader = -1;
 
   Site(std::uint64_t seed, int controllers) : world(seed, controllers, kTiming) {
-    world.large_offered = false;
+    world.cloud().offers_large = false;
     world.run(5);
     for (int i = 0; i < 6; ++i) cancelled.push_back(world.submit(kept_batch(3, 1, 2000)));
     service = world.submit(kept_service(2, 1));
@@ -93,7 +93,7 @@
   for (const int controllers : {3, 5})
     for (const std::uint64_t seed : {1, 2, 3}) {
       World world(seed, controllers, kTiming);
-      world.large_offered = false;
+      world.cloud().offers_large = false;
       world.run(5);
       std::vector<std::string> uids;
       for (int i = 0; i <= 20; ++i) uids.push_back(world.submit(kept_batch(2, 0.5, 2000)));
@@ -130,10 +130,10 @@
       site.cancel_all();
       world.run(world.now() + 0.4);
       ASSERT_GT(site.confirmed(), 0);
-      world.deaf_node = site.old_leader;
+      world.state_service().node_without_watches = site.old_leader;
       world.state_outage(30);
       world.run(world.now() + 1.3 * kTiming.cancel_s);
-      world.deaf_node = -1;
+      world.state_service().node_without_watches = -1;
       world.run(world.now() + kTiming.cancel_s);
       ASSERT_TRUE(world.broken().empty()) << controllers << " " << listing(world.broken());
       site.expect_well_after();
@@ -160,12 +160,12 @@
       world.run(world.now() + 0.3);
       ASSERT_GT(site.confirmed(), 0);
       world.state_outage(33);
-      world.deaf_node = site.old_leader;
+      world.state_service().node_without_watches = site.old_leader;
       // What it still answers by what it knew then is the last that the machines hear for long.
       world.run(world.now() + 40);
       world.deafen_machines(1, 2 * kTiming.lease_s);
       world.run(world.now() + 20);
-      world.deaf_node = -1;
+      world.state_service().node_without_watches = -1;
       world.run(world.now() + kTiming.cancel_s);
       ASSERT_TRUE(world.broken().empty()) << controllers << " " << listing(world.broken());
       site.expect_well_after();
--- a/tests/meetings_limits_test.cpp
+++ b/tests/meetings_limits_test.cpp
@@ -7,6 +7,7 @@
 #include <tuple>
 
 #include "sim/jobs.hpp"
+#include "sim/scenario.hpp"
 
 namespace bankhill::sim {
 namespace {
@@ -19,12 +20,6 @@
 constexpr double kRedLimit = 40;
 constexpr double kBlueLimit = 24;
 
-bool caught(const World& world, const std::string& rule) {
-  const auto& broken = const_cast<World&>(world).broken();
-  return std::any_of(broken.begin(), broken.end(),
-                     [&](const std::string& line) { return line.starts_with(rule + " "); });
-}
-
 std::string host_of(World& world, const wire::MemberId& member) {
   for (auto& [host, machine] : world.machines())
     if (machine.on(member, world.now(), kLease)) return host;
@@ -45,12 +40,6 @@
   return cores;
 }
 
-bool until(World& world, double within_s, const std::function<bool()>& reached) {
-  const double limit = world.now() + within_s;
-  while (world.now() < limit && !reached()) world.run(world.now() + 0.05);
-  return reached();
-}
-
 SimJob whole_machine(const std::string& owner) {
   auto job = kept_batch(1, kMachineCores, 3000);
   job.spec.owner = owner;
@@ -86,8 +75,8 @@
   wire::MemberId member;
 
   explicit CheckedSite(SimJob job) {
-    world.large_offered = false;
-    world.unchecked_records = true;
+    world.cloud().offers_large = false;
+    world.rules().unchecked_records = true;
     world.run(5);
     uid = world.submit(std::move(job));
     member = {wire::JobId{uid}, 0};
@@ -107,7 +96,7 @@
     const auto other = stray(world);
     world.force_start(site.member, index_of(world, other));
     world.run(world.now() + 2);
-    EXPECT_TRUE(caught(world, "ran_twice")) << static_cast<int>(how);
+    EXPECT_TRUE(broke_rule(world, "ran_twice")) << static_cast<int>(how);
   }
 }
 
@@ -117,7 +106,7 @@
     job.spec.members = 7;
     CheckedSite site(job);
     auto& world = site.world;
-    ASSERT_TRUE(until(world, 100, [&] { return cores_on(world, "blue", kLease) == kBlueLimit; }));
+    ASSERT_TRUE(run_within(world, 100, [&] { return cores_on(world, "blue", kLease) == kBlueLimit; }));
     ASSERT_TRUE(world.broken().empty()) << listing(world.broken());
     wire::MemberId waits = site.member;
     while (!host_of(world, waits).empty()) ++waits.index;
@@ -128,7 +117,7 @@
     const auto other = stray(world);
     world.force_start(waits, index_of(world, other));
     world.run(world.now() + 2);
-    EXPECT_TRUE(caught(world, "quota")) << static_cast<int>(how);
+    EXPECT_TRUE(broke_rule(world, "quota")) << static_cast<int>(how);
   }
 }
 
@@ -139,7 +128,7 @@
   auto& world = site.world;
   const auto host = host_of(world, site.member);
   world.cancel(site.uid);
-  EXPECT_TRUE(until(world, 5, [&] { return world.jobs().at(site.uid).told_cancelled > 0; }));
+  EXPECT_TRUE(run_within(world, 5, [&] { return world.jobs().at(site.uid).told_cancelled > 0; }));
   const double limit = world.jobs().at(site.uid).told_cancelled + kCancel;
   world.cloud_outage(2 * kCancel);  // else the leader returns the machine
   const auto other = stray(world);
@@ -149,7 +138,7 @@
   machine.lease_from = world.now() + lease_left - kLease;
   machine.hung_until = limit + 4;
   world.run(limit + 8);
-  return caught(world, "ran_cancelled");
+  return broke_rule(world, "ran_cancelled");
 }
 
 TEST(Checker, SeesACancelledTaskThatGoesOnAfterAHang) {
@@ -166,7 +155,7 @@
     const auto host = host_of(world, site.member);
     auto& machine = world.machines().at(host);
     const auto before = machine.exchange;
-    ASSERT_TRUE(until(world, 8, [&] { return machine.exchange > before && !machine.in_flight; }));
+    ASSERT_TRUE(run_within(world, 8, [&] { return machine.exchange > before && !machine.in_flight; }));
     // The answer to its next report arrives when it hangs already.
     world.held_up = [&](const std::string& from, const std::string& to, const std::string&) {
       return from.starts_with("node-") && to == "workers-" + machine.zone ? 0.3 : 0.0;
@@ -189,7 +178,7 @@
   CheckedSite site(whole_machine("red"));
   auto& world = site.world;
   world.cancel(site.uid);
-  ASSERT_TRUE(until(world, 5, [&] { return world.jobs().at(site.uid).told_cancelled > 0; }));
+  ASSERT_TRUE(run_within(world, 5, [&] { return world.jobs().at(site.uid).told_cancelled > 0; }));
   world.run(world.now() + 2);
   EXPECT_EQ(world.cancelled_starts().all, 0U);
   const auto other = stray(world);
@@ -244,12 +233,12 @@
   std::vector<std::string> running;
 
   explicit FullSite(const Draw& draw) : world(static_cast<std::uint64_t>(seeded(draw)), std::get<0>(draw)) {
-    world.large_offered = false;
-    world.most_machines = 24;
+    world.cloud().offers_large = false;
+    world.cloud().machine_limit = 24;
     world.run(5);
     for (int i = 0; i < kRedLimit / kMachineCores; ++i) submit("red");
     for (int i = 0; i < kBlueLimit / kMachineCores; ++i) submit("blue");
-    until(world, 200, [&] { return full(); });
+    run_within(world, 200, [&] { return full(); });
     for (int i = 0; i < 6; ++i) {
       world.submit(whole_machine("red"));
       world.submit(whole_machine("blue"));
@@ -294,7 +283,7 @@
   }
   void expect_well_after(const std::vector<std::string>& cancelled) {
     world.heal();
-    EXPECT_TRUE(until(world, kCancel + 4 * kLease, [&] { return full(); }))
+    EXPECT_TRUE(run_within(world, kCancel + 4 * kLease, [&] { return full(); }))
         << "room is not used again: " << cores_on(world, "red", kLease) << " and "
         << cores_on(world, "blue", kLease);
     world.run(world.now() + kLease);
@@ -353,7 +342,7 @@
       leave_unreached(world, world.machines().at(victims[i].second), kUnreached[draw % 2],
                       kLease * std::array{0.6, 1.0, 1.5}[draw % 3]);
   site.end_reign(draw % 2 == 0 ? 0 : 3, 3);
-  ASSERT_TRUE(until(world, 30, [&] { return world.leader() >= 0; }));
+  ASSERT_TRUE(run_within(world, 30, [&] { return world.leader() >= 0; }));
   const double led = world.now();
   site.submit_more(led, led + 8);
   for (const auto& [uid, host] : victims) {
@@ -381,7 +370,7 @@
   std::uint64_t starts = 0;
   for (const std::uint64_t seed : {1, 2, 3}) {
     World world(seed, controllers);
-    world.large_offered = false;
+    world.cloud().offers_large = false;
     world.run(5);
     std::vector<std::string> jobs;
     for (int i = 0; i < 24; ++i) jobs.push_back(world.submit(kept_batch(2, 0.5, 3000)));
--- a/tests/meetings_machines_test.cpp
+++ b/tests/meetings_machines_test.cpp
@@ -7,6 +7,7 @@
 #include <array>
 
 #include "sim/jobs.hpp"
+#include "sim/scenario.hpp"
 
 namespace bankhill::sim {
 namespace {
@@ -14,24 +15,6 @@
 constexpr double kLease = 20;  // of the simulated site
 constexpr double kReport = 3;
 
-SimJob small_batch(std::uint32_t members, double cores, double run_s) {
-  auto job = kept_batch(members, cores, run_s);
-  job.spec.flavors = std::vector<std::string>{"small"};
-  return job;
-}
-
-SimJob small_service(std::uint32_t members, double cores) {
-  auto job = kept_service(members, cores);
-  job.spec.flavors = std::vector<std::string>{"small"};
-  return job;
-}
-
-bool until(World& world, double within_s, const std::function<bool()>& reached) {
-  const double limit = world.now() + within_s;
-  while (world.now() < limit && !reached()) world.run(world.now() + 0.05);
-  return reached();
-}
-
 std::uint64_t term(const World& world) {
   const auto found = world.keys().find(wire::kTermKey);
   return found == world.keys().end() ? 0 : wire::count_field(found->second.data, "n");
@@ -80,10 +63,10 @@
 
 TEST(Checker, SeesAMachineThatNobodyOwns) {
   World world(1, 3);
-  world.unowned_limit_s = 20;
+  world.rules().unowned_limit_s = 20;
   world.run(5);
   const auto host = world.stray_machine("za");
-  ASSERT_TRUE(until(world, 20, [&] { return world.recorded(host); }));
+  ASSERT_TRUE(run_within(world, 20, [&] { return world.recorded(host); }));
   world.run(world.now() + 25);
   ASSERT_TRUE(world.broken().empty()) << listing(world.broken());
   for (auto key = world.keys().lower_bound(wire::kMachines);
@@ -131,8 +114,8 @@
     case Lag::slow:
       return world.slow_state(0.5, 2.5, seconds);
     case Lag::limit:
-      world.no_puts = true;
-      world.at(world.now() + seconds, [&world] { world.no_puts = false; });
+      world.state_service().writes_exhausted = true;
+      world.at(world.now() + seconds, [&world] { world.state_service().writes_exhausted = false; });
   }
 }
 
@@ -152,19 +135,19 @@
     for (const double after : {0.0, 0.4, 1.2, 4.0}) {
       const auto about = "seed " + std::to_string(++seed) + ", " + std::to_string(after) + " s after";
       World world(static_cast<std::uint64_t>(seed), controllers);
-      world.quick_boots = 1;
-      world.lists_lag = true;
-      world.large_offered = false;
-      world.most_machines = 8;
-      world.unowned_limit_s = 30;
+      world.cloud().quick_boot_share = 1;
+      world.cloud().lists_lag = true;
+      world.cloud().offers_large = false;
+      world.cloud().machine_limit = 8;
+      world.rules().unowned_limit_s = 30;
       world.run(5);
       auto wide = small_batch(30, 1, 6);  // more than its team may use
       wide.spec.owner = "blue";
       world.submit(wide);
       world.submit(small_service(2, 1));
-      ASSERT_TRUE(until(world, 30, [&] { return !world.machines().empty(); })) << about;
+      ASSERT_TRUE(run_within(world, 30, [&] { return !world.machines().empty(); })) << about;
       lag_writes(world, lag, after + 6);
-      ASSERT_TRUE(until(world, 15, [&] { return there(world) > 0; })) << about;
+      ASSERT_TRUE(run_within(world, 15, [&] { return there(world) > 0; })) << about;
       world.run(world.now() + after);
       for (const auto& [host, machine] : world.machines())
         unrecorded += machine.up && !world.recorded(host) ? 1 : 0;
@@ -172,11 +155,12 @@
       const auto before = term(world);
       end_leader(world, how);
       // The next leader has room for them while the cloud says nothing, and writes go again.
-      ASSERT_TRUE(until(world, 20, [&] { return world.leader() >= 0 && term(world) > before; })) << about;
+      ASSERT_TRUE(run_within(world, 20, [&] { return world.leader() >= 0 && term(world) > before; }))
+          << about;
       world.run(world.now() + 9);
       for (const auto& [host, machine] : world.machines())
         EXPECT_TRUE(!machine.up || machine.dead || world.recorded(host)) << about << ": " << host;
-      until(world, 120, [&] { return all_done(world); });
+      run_within(world, 120, [&] { return all_done(world); });
       world.run(world.now() + 10);
       expect_well(world, about);
       EXPECT_EQ(world.starts(), 32U) << about;  // none is lost or repeated
@@ -189,24 +173,24 @@
 TEST_P(Machines, ARentalAnsweredAndNotStored) {
   for (const auto how : {End::crash, End::all, End::handover}) {
     World world(static_cast<std::uint64_t>(200 + GetParam()), GetParam());
-    world.quick_boots = 1;
-    world.lists_lag = true;
-    world.large_offered = false;
-    world.unowned_limit_s = 30;
-    world.hold_next = [](const wire::Json& write) {
+    world.cloud().quick_boot_share = 1;
+    world.cloud().lists_lag = true;
+    world.cloud().offers_large = false;
+    world.rules().unowned_limit_s = 30;
+    world.state_service().delay_next = [](const wire::Json& write) {
       return write.value("write", "").starts_with(wire::kRentals) && write["data"].contains("hosts") &&
              !write["data"]["hosts"].is_null();
     };
     world.run(5);
     world.submit(small_batch(6, 4, 12));
-    ASSERT_TRUE(until(world, 30, [&] { return world.held_back.has_value(); }));
+    ASSERT_TRUE(run_within(world, 30, [&] { return world.state_service().delayed.has_value(); }));
     const auto before = term(world);
     end_leader(world, how);
-    ASSERT_TRUE(until(world, 20, [&] { return world.leader() >= 0 && term(world) > before; }));
+    ASSERT_TRUE(run_within(world, 20, [&] { return world.leader() >= 0 && term(world) > before; }));
     world.run(world.now() + 3);
     const auto rented = world.machines().size();
-    EXPECT_EQ(world.carry_out_held().status, 409);
-    until(world, 120, [&] { return all_done(world); });
+    EXPECT_EQ(world.state_service().carry_out_delayed().status, 409);
+    run_within(world, 120, [&] { return all_done(world); });
     EXPECT_EQ(world.starts(), 6U);
     EXPECT_EQ(world.machines().size(), rented) << "rented once more";
     for (const auto& [key, entry] : world.keys())
@@ -227,23 +211,24 @@
   std::uint64_t starts = 0;  // when all of this is over
 
   OldSite(std::uint64_t seed, int controllers) : world(seed, controllers) {
-    world.large_offered = false;
-    world.most_machines = 3;
-    world.unowned_limit_s = 30;
+    world.cloud().offers_large = false;
+    world.cloud().machine_limit = 3;
+    world.rules().unowned_limit_s = 30;
     world.run(5);
     service = world.submit(small_service(2, 2));
     stopped = world.submit(small_service(1, 3));
     first = world.submit(small_batch(3, 1, 4));
   }
   bool settle() {
-    if (!until(world, 90, [&] { return world.whole(service) == 2 && running(world) >= 3; })) return false;
+    if (!run_within(world, 90, [&] { return world.whole(service) == 2 && running(world) >= 3; }))
+      return false;
     world.run(world.now() + 2);
     // A machine hangs until its session is over; its service goes elsewhere.
     for (auto& [host, machine] : world.machines())
       if (machine.on({{service}, 0}, world.now(), kLease)) machine.hung_until = world.now() + kLease + 4;
     world.cancel(stopped);
     world.run(world.now() + kLease + 6);
-    const bool well = until(world, 60, [&] {
+    const bool well = run_within(world, 60, [&] {
       return world.whole(service) == 2 && world.jobs().at(first).told_done &&
              world.jobs().at(stopped).told_cancelled > 0;
     });
@@ -282,15 +267,16 @@
         if (recent) world.run(world.now() + 6);
         const auto before = term(world);
         end_leader(world, how);
-        ASSERT_TRUE(until(world, 30, [&] { return world.leader() >= 0 && term(world) > before; })) << about;
+        ASSERT_TRUE(run_within(world, 30, [&] { return world.leader() >= 0 && term(world) > before; }))
+            << about;
         world.run(world.now() + 12);
         EXPECT_EQ(site.places(), places) << about << ", change " << change;
         EXPECT_EQ(world.starts(), site.starts) << about << ", change " << change << ": started again";
       }
       // What was said to be there takes no room.
       world.submit(small_batch(4, 2, 3));
-      EXPECT_TRUE(until(world, 15, [&] { return world.starts() == site.starts + 4; })) << about;
-      EXPECT_TRUE(until(world, 30, [&] { return all_done(world); })) << about;
+      EXPECT_TRUE(run_within(world, 15, [&] { return world.starts() == site.starts + 4; })) << about;
+      EXPECT_TRUE(run_within(world, 30, [&] { return all_done(world); })) << about;
       expect_well(world, about);
       copies += world.copies();
     }
@@ -306,29 +292,30 @@
     for (const double after : {0.3, 1.5, 5.0, 0.9 * kLease, 1.5 * kLease}) {
       const auto about = "seed " + std::to_string(++seed) + ", " + std::to_string(after) + " s after";
       World world(static_cast<std::uint64_t>(seed), GetParam());
-      world.large_offered = false;
-      world.most_machines = 3;
-      world.unowned_limit_s = 30;
+      world.cloud().offers_large = false;
+      world.cloud().machine_limit = 3;
+      world.rules().unowned_limit_s = 30;
       world.run(5);
       const auto service = world.submit(small_service(1, 1));
       const auto long_one = world.submit(small_batch(1, 1, 45));
       const auto jobs = {world.submit(small_batch(6, 1, 6)), world.submit(small_batch(3, 2, 7))};
-      ASSERT_TRUE(until(world, 90, [&] { return world.starts() >= 8; })) << about;
+      ASSERT_TRUE(run_within(world, 90, [&] { return world.starts() >= 8; })) << about;
       const auto ending = [&] {
         return std::any_of(jobs.begin(), jobs.end(),
                            [&](const std::string& uid) { return !world.jobs().at(uid).completed.empty(); });
       };
-      until(world, 30, ending);
+      run_within(world, 30, ending);
       world.hold_reports(1, 3, after);
       world.run(world.now() + 2.5);
       const auto before = term(world);
       end_leader(world, how);
-      ASSERT_TRUE(until(world, 30, [&] { return world.leader() >= 0 && term(world) > before; })) << about;
+      ASSERT_TRUE(run_within(world, 30, [&] { return world.leader() >= 0 && term(world) > before; }))
+          << about;
       // It acts: what was held tells of tasks that are gone, and knows nothing of these.
       world.submit(small_batch(4, 1, 5));
       if (seed % 2 == 0) world.cancel(long_one);
       world.run(world.now() + after + 6);
-      EXPECT_TRUE(until(world, 90, [&] { return all_done(world); })) << about;
+      EXPECT_TRUE(run_within(world, 90, [&] { return all_done(world); })) << about;
       EXPECT_EQ(world.starts(), 15U) << about << ": lost or started again";
       EXPECT_EQ(world.whole(service), 1U) << about;
       expect_well(world, about);
@@ -349,15 +336,15 @@
   const auto [controllers, day] = GetParam();
   const bool outage = day % 2 == 1;
   World world(static_cast<std::uint64_t>(500 + 10 * controllers + day), controllers);
-  world.large_offered = false;
-  world.unowned_limit_s = 60;
+  world.cloud().offers_large = false;
+  world.rules().unowned_limit_s = 60;
   world.run(5);
   const auto service = world.submit(small_service(3, 2));
   auto guest = small_service(2, 1);
   guest.spec.owner = "blue";
   const auto other = world.submit(guest);
   world.submit(small_batch(6, 1, 40));
-  ASSERT_TRUE(until(world, 90, [&] { return world.whole(service) == 3 && world.whole(other) == 2; }));
+  ASSERT_TRUE(run_within(world, 90, [&] { return world.whole(service) == 3 && world.whole(other) == 2; }));
   world.run(world.now() + 5);
   const double begin = world.now();
   std::vector<std::string> cancelled;
@@ -391,8 +378,8 @@
   const double last = begin + 108;
   world.run(last + 9);  // the longest of the ends is over
   for (const auto& uid : cancelled) world.cancel(uid);
-  EXPECT_TRUE(until(world, last + kLease + 16 - world.now(),
-                    [&] { return world.whole(service) == 3 && world.whole(other) == 2; }))
+  EXPECT_TRUE(run_within(world, last + kLease + 16 - world.now(),
+                         [&] { return world.whole(service) == 3 && world.whole(other) == 2; }))
       << "services: " << world.whole(service) << " and " << world.whole(other);
   world.run(last + 90);
   EXPECT_EQ(changes, 10);
@@ -415,14 +402,14 @@
     for (const bool hung : {false, true}) {
       const auto about = "seed " + std::to_string(++seed) + ", " + std::to_string(away) + " leases";
       World world(static_cast<std::uint64_t>(seed), controllers);
-      world.large_offered = false;
-      world.most_machines = 4;
-      world.unowned_limit_s = 30;
+      world.cloud().offers_large = false;
+      world.cloud().machine_limit = 4;
+      world.rules().unowned_limit_s = 30;
       world.run(5);
       const auto service = world.submit(small_service(3, 1));
       const auto long_job = world.submit(small_batch(8, 1, 100));
       const auto short_job = world.submit(small_batch(2, 1, 5));
-      ASSERT_TRUE(until(world, 90, [&] {
+      ASSERT_TRUE(run_within(world, 90, [&] {
         return running(world) == 11 && all_done(world) == false && world.jobs().at(short_job).told_done;
       })) << about;
       world.run(world.now() + 3);
@@ -454,14 +441,14 @@
       }
       EXPECT_EQ(told_wrong, 0U) << about;
       const double within = (hung ? kLease : 0) + 14;
-      EXPECT_TRUE(until(world, back + within - world.now(), [&] { return running(world) == 11; }))
+      EXPECT_TRUE(run_within(world, back + within - world.now(), [&] { return running(world) == 11; }))
           << about << ": " << running(world) << " run";
       EXPECT_GE(world.starts(), starts + 11) << about;
       lost += world.starts() - starts - 11;
       EXPECT_EQ(world.jobs().at(service).completed.size(), 0U);
       for (const auto& [host, machine] : world.machines())
         EXPECT_TRUE(hung || hosts.contains(host)) << about << ": " << host << " was rented";
-      EXPECT_TRUE(until(world, 130, [&] { return all_done(world); })) << about;
+      EXPECT_TRUE(run_within(world, 130, [&] { return all_done(world); })) << about;
       expect_well(world, about);
     }
 }
--- a/tests/meetings_orders_test.cpp
+++ b/tests/meetings_orders_test.cpp
@@ -6,42 +6,17 @@
 #include <optional>
 
 #include "sim/jobs.hpp"
+#include "sim/scenario.hpp"
 
 namespace bankhill::sim {
 namespace {
 
 constexpr double kLease = 20;  // of the simulated site
 
-SimJob task_of(double cores, double run_s, std::uint32_t members = 1) {
-  auto job = kept_batch(members, cores, run_s);
-  job.spec.flavors = std::vector<std::string>{"small"};
-  return job;
-}
-
-SimJob service_of(double cores, std::uint32_t members) {
-  auto job = task_of(cores, 0, members);
-  job.spec.shape = wire::Shape::daemon;
-  return job;
-}
-
-bool until(World& world, double within_s, const std::function<bool()>& reached) {
-  const double limit = world.now() + within_s;
-  while (world.now() < limit && !reached()) world.run(world.now() + 0.05);
-  return reached();
-}
-
-std::uint64_t term(const World& world) {
-  return wire::count_field(world.keys().at(wire::kTermKey).data, "n");
-}
-
-void crash_all(World& world, double away) {
-  for (int node = 0; node < world.nodes(); ++node) world.crash(node, away);
-}
-
 // The state service refuses all others until this one leads.
 bool lead(World& world, int to) {
   for (int node = 0; node < world.nodes(); ++node) world.refuse(node, node == to ? 0 : 30);
-  const bool leads = until(world, 30, [&] { return world.leader() == to; });
+  const bool leads = run_within(world, 30, [&] { return world.leader() == to; });
   for (int node = 0; node < world.nodes(); ++node) world.refuse(node, 0);
   return leads;
 }
@@ -49,23 +24,12 @@
 // A new leader: another one after a crash, the one that comes back first of all, another process untouched.
 enum class Change { crash, all, handover };
 bool change(World& world, Change how) {
-  const auto before = term(world);
+  const auto before = stored_term(world);
   const int leader = std::max(0, world.leader());
   if (how == Change::crash) world.crash(leader, 1);
   if (how == Change::all) crash_all(world, 0.3);
   if (how == Change::handover && !lead(world, (leader + 1) % world.nodes())) return false;
-  return until(world, 30, [&] { return world.leader() >= 0 && term(world) > before; });
-}
-
-using Finished = std::set<std::pair<std::string, std::uint32_t>>;
-Finished stored_as_finished(const World& world) {
-  Finished tasks;
-  for (const auto& [key, entry] : world.keys())
-    if (key.starts_with(wire::kFinished))
-      for (const auto& [id, hex] :
-           wire::parse_finished_bucket(key.substr(wire::kFinished.size()), entry.data))
-        for (const auto index : wire::parse_finished_hex(hex, id.chunk)) tasks.emplace(id.job.value, index);
-  return tasks;
+  return run_within(world, 30, [&] { return world.leader() >= 0 && stored_term(world) > before; });
 }
 
 void expect_done(World& world, const std::string& about) {
@@ -96,12 +60,12 @@
   for (const auto how : {Change::crash, Change::all, Change::handover})
     for (const double after : {0.0, 0.15, 0.4, 0.7, 1.2, 2.5, 6.0}) {
       World world(static_cast<std::uint64_t>(++seed), GetParam());
-      world.most_machines = 1;
+      world.cloud().machine_limit = 1;
       world.run(5);
       const auto about = "seed " + std::to_string(seed) + ", " + std::to_string(after) + " s after";
       const auto uid = world.submit(task_of(4, 9, seed % 2 == 0 ? 2 : 3));
       const auto& job = world.jobs().at(uid);
-      if (!until(world, 90, [&] { return job.completed.size() == 1; }))
+      if (!run_within(world, 90, [&] { return job.completed.size() == 1; }))
         continue;  // the machine never came up
       world.run(world.now() + after);
       const bool stored = stored_as_finished(world).contains({uid, 0});
@@ -109,8 +73,8 @@
       const bool listed = machine.tasks.contains({{uid}, 0});
       seen.insert(stored ? listed ? "stored" : "forgotten" : "not stored");
       ASSERT_TRUE(change(world, how)) << about;
-      EXPECT_TRUE(until(world, 90, [&] { return job.completed.size() == job.spec.members; })) << about;
-      EXPECT_TRUE(until(world, 15, [&] { return job.told_done; })) << about << ": done and not told";
+      EXPECT_TRUE(run_within(world, 90, [&] { return job.completed.size() == job.spec.members; })) << about;
+      EXPECT_TRUE(run_within(world, 15, [&] { return job.told_done; })) << about << ": done and not told";
       EXPECT_EQ(world.starts(), job.spec.members) << about << ": started again";
       EXPECT_TRUE(world.broken().empty()) << about << "\n" << listing(world.broken());
     }
@@ -123,19 +87,19 @@
 TEST_P(Meetings, AllTasksInABucketAndTheRecordNotWritten) {
   for (const auto how : {Change::crash, Change::all, Change::handover}) {
     World world(static_cast<std::uint64_t>(40 + GetParam()), GetParam());
-    world.most_machines = 1;
+    world.cloud().machine_limit = 1;
     world.run(5);
     const auto uid = world.submit(task_of(4, 4, 2));
     const auto& job = world.jobs().at(uid);
-    ASSERT_TRUE(until(world, 90, [&] { return job.completed.size() == 1; }));
-    world.untaken = {wire::job_key({uid})};
-    ASSERT_TRUE(until(world, 30, [&] { return job.completed.size() == 2; }));
+    ASSERT_TRUE(run_within(world, 90, [&] { return job.completed.size() == 1; }));
+    world.state_service().rejected_keys = {wire::job_key({uid})};
+    ASSERT_TRUE(run_within(world, 30, [&] { return job.completed.size() == 2; }));
     world.submit(task_of(4, 4, 2));
-    ASSERT_TRUE(until(world, 60, [&] { return stored_as_finished(world).contains({uid, 1}); }));
+    ASSERT_TRUE(run_within(world, 60, [&] { return stored_as_finished(world).contains({uid, 1}); }));
     ASSERT_EQ(world.keys().at(wire::job_key({uid})).data["phase"], "accepted");
-    world.untaken.clear();  // that leader tries again only after some rounds
+    world.state_service().rejected_keys.clear();  // that leader tries again only after some rounds
     ASSERT_TRUE(change(world, how));
-    EXPECT_TRUE(until(world, 15, [&] { return job.told_done; })) << "never done";
+    EXPECT_TRUE(run_within(world, 15, [&] { return job.told_done; })) << "never done";
     world.run(world.now() + 40);
     EXPECT_EQ(world.starts(), 4U);
     expect_done(world, uid);
@@ -147,13 +111,13 @@
 TEST_P(Meetings, AChunkUnderTwoKeysLosesNoExit) {
   for (const bool newer_first : {false, true}) {
     World world(static_cast<std::uint64_t>(50 + GetParam()), GetParam());
-    world.most_machines = 1;
+    world.cloud().machine_limit = 1;
     world.run(5);
     const auto uid = world.submit(task_of(4, 18, 3));
     const auto& job = world.jobs().at(uid);
-    ASSERT_TRUE(until(world, 120, [&] { return world.starts() == 3; }));
-    const Finished both{{uid, 0}, {uid, 1}};
-    ASSERT_TRUE(until(world, 8, [&] { return world.machines().begin()->second.tasks.size() == 1; }));
+    ASSERT_TRUE(run_within(world, 120, [&] { return world.starts() == 3; }));
+    const FinishedTasks both{{uid, 0}, {uid, 1}};
+    ASSERT_TRUE(run_within(world, 8, [&] { return world.machines().begin()->second.tasks.size() == 1; }));
     ASSERT_EQ(stored_as_finished(world), both);
     crash_all(world, 0.3);
     const auto key = world.keys().lower_bound(wire::kFinished)->first;
@@ -163,10 +127,10 @@
     };
     world.tamper(key, bucket({2, newer_first ? '\2' : '\0', 0}));
     world.tamper(second, bucket({2, newer_first ? '\0' : '\2', 0}));
-    EXPECT_TRUE(until(world, 10, [&] { return !world.keys().contains(second); })) << "not cleaned up";
+    EXPECT_TRUE(run_within(world, 10, [&] { return !world.keys().contains(second); })) << "not cleaned up";
     EXPECT_EQ(stored_as_finished(world), both);
     crash_all(world, 0.3);
-    EXPECT_TRUE(until(world, 60, [&] { return job.told_done; }));
+    EXPECT_TRUE(run_within(world, 60, [&] { return job.told_done; }));
     EXPECT_EQ(world.starts(), 3U) << "what was done is started again";
     EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
   }
@@ -180,7 +144,7 @@
   for (const auto how : {Change::crash, Change::all, Change::handover})
     for (int seed = 1; seed <= 3; ++seed) {
       World world(static_cast<std::uint64_t>(60 + seed), GetParam());
-      world.most_machines = 3;
+      world.cloud().machine_limit = 3;
       world.run(5);
       world.submit(task_of(2, 5, 9));
       world.submit(task_of(4, 7, 3));
@@ -240,14 +204,14 @@
   std::int64_t answers = 0;
   for (int seed = 1; seed <= 4; ++seed) {
     World world(static_cast<std::uint64_t>(70 + seed), GetParam());
-    world.most_machines = 6;
+    world.cloud().machine_limit = 6;
     world.run(5);
     world.submit(service_of(1, 4));
-    until(world, 60, [&] { return world.starts() >= 3; });
+    run_within(world, 60, [&] { return world.starts() >= 3; });
     Slow slow(world, 0.4);
     for (int round = 0; round < 3; ++round) {
       const int a = std::max(0, world.leader());
-      const auto first = term(world);
+      const auto first = stored_term(world);
       for (int i = 0; i < 3; ++i) {
         world.submit(task_of(1, 4, 5));
         world.run(world.now() + world.uniform(0.05, 2));
@@ -278,21 +242,21 @@
   std::int64_t orders = 0;
   for (int seed = 1; seed <= 4; ++seed) {
     World world(static_cast<std::uint64_t>(80 + seed), GetParam());
-    world.most_machines = 6;
+    world.cloud().machine_limit = 6;
     world.run(5);
     world.submit(service_of(1, 4));
-    until(world, 60, [&] { return world.starts() >= 3; });
+    run_within(world, 60, [&] { return world.starts() >= 3; });
     Slow slow(world, 0.4);
     for (int round = 0; round < 4; ++round) {
       for (int i = 0; i < 3; ++i) {
         world.submit(task_of(1, 4, 5));
         world.run(world.now() + world.uniform(0.05, 2));
       }
-      const auto before = term(world);
+      const auto before = stored_term(world);
       const int first = world.pick(world.nodes());
       for (int node = 0; node < world.nodes(); ++node)
         world.crash(node, node == first ? world.uniform(0.05, 0.9) : world.uniform(5, 12));
-      ASSERT_TRUE(until(world, 30, [&] { return world.leader() >= 0; }));
+      ASSERT_TRUE(run_within(world, 30, [&] { return world.leader() >= 0; }));
       orders += slow.later(world.now(), before);
       world.run(world.now() + world.uniform(0.5, 14));
     }
@@ -319,7 +283,7 @@
         sent = world.now();
         return late;
       };
-      EXPECT_TRUE(until(world, 25, [&] { return sent > 0 && world.leader() == 0; })) << late;
+      EXPECT_TRUE(run_within(world, 25, [&] { return sent > 0 && world.leader() == 0; })) << late;
       world.run(world.now() + 60);
       EXPECT_TRUE(world.jobs().at(uid).told_done) << late;
       expect_done(world, std::to_string(late));
@@ -366,7 +330,7 @@
   }
   ~HeldOrder() { world.held_up = nullptr; }
   bool sent(double within_s = 30) {
-    return until(world, within_s, [this] { return arrives > 0; });
+    return run_within(world, within_s, [this] { return arrives > 0; });
   }
   void pass() { world.run(std::max(world.now(), arrives + 1)); }
 
@@ -379,10 +343,10 @@
 
 // Two machines that are up and have the image, with nothing on them: what comes is ordered directly.
 bool two_idle(World& world) {
-  world.most_machines = 2;
+  world.cloud().machine_limit = 2;
   world.run(5);
   const auto uid = world.submit(task_of(4, 5, 2));
-  until(world, 120, [&] { return world.jobs().at(uid).told_done && world.machines().size() == 2; });
+  run_within(world, 120, [&] { return world.jobs().at(uid).told_done && world.machines().size() == 2; });
   bool up = world.machines().size() == 2;
   for (auto& [host, machine] : world.machines()) {
     up = up && machine.up;
@@ -413,10 +377,10 @@
       if (hangs) world.machines().at(start.host).hung_until = world.now() + late;
       start.arrives = world.now() + late;
       world.cancel(uid);
-      ASSERT_TRUE(until(world, 10, [&] { return world.jobs().at(uid).told_cancelled > 0; }));
+      ASSERT_TRUE(run_within(world, 10, [&] { return world.jobs().at(uid).told_cancelled > 0; }));
       if (late > 10 && !hangs) {
         const auto others = world.submit(task_of(4, 1, 2));
-        EXPECT_TRUE(until(world, 30, [&] { return world.jobs().at(others).told_done; })) << late;
+        EXPECT_TRUE(run_within(world, 30, [&] { return world.jobs().at(others).told_done; })) << late;
       }
       start.pass();
       if (late > 10 && !hangs) {
@@ -457,7 +421,7 @@
           return entry.first != start.host && entry.second.on(task, world.now(), kLease);
         });
       };
-      EXPECT_TRUE(until(world, goes_on - world.now() - 0.1, elsewhere)) << late << hangs;
+      EXPECT_TRUE(run_within(world, goes_on - world.now() - 0.1, elsewhere)) << late << hangs;
       start.arrives = goes_on;
       start.pass();
       EXPECT_TRUE(elsewhere());
@@ -491,10 +455,10 @@
         return world.jobs().at(uid).told_done && world.machines().at(start.host).tasks.empty();
       };
       if (late > 15) {
-        EXPECT_TRUE(until(world, late - 1, forgotten)) << late << ": never forgotten";
+        EXPECT_TRUE(run_within(world, late - 1, forgotten)) << late << ": never forgotten";
       }
       start.pass();
-      EXPECT_TRUE(until(world, 20, forgotten)) << late;
+      EXPECT_TRUE(run_within(world, 20, forgotten)) << late;
       EXPECT_EQ(world.starts(), starts + members) << late << ": started again";
       expect_done(world, std::to_string(late));
       ++met;
@@ -508,20 +472,20 @@
   for (const double late : {14.0, 30.0})
     for (const bool crash : {false, true}) {
       World world(static_cast<std::uint64_t>(160 + GetParam()), GetParam());
-      world.most_machines = 1;
+      world.cloud().machine_limit = 1;
       world.run(5);
       auto low = task_of(4, 40);
       low.spec.rank = wire::Rank::best_effort;
       const auto uid = world.submit(low);
       const wire::MemberId task{{uid}, 0};
-      ASSERT_TRUE(until(world, 60, [&] { return world.starts() == 1; }));
+      ASSERT_TRUE(run_within(world, 60, [&] { return world.starts() == 1; }));
       HeldOrder stop(world, "stop", uid, late);
       auto high = task_of(4, 1);
       high.spec.rank = wire::Rank::production;
       world.submit(high);
       ASSERT_TRUE(stop.sent());
       const auto first = world.machines().at(stop.host).tasks.at(task).try_no;
-      ASSERT_TRUE(until(world, 12, [&] { return world.starts() == 3; })) << "has not begun again";
+      ASSERT_TRUE(run_within(world, 12, [&] { return world.starts() == 3; })) << "has not begun again";
       if (crash) crash_all(world, 0.3);
       ASSERT_LT(world.now(), stop.arrives);
       stop.pass();
@@ -543,10 +507,10 @@
   std::int64_t outlived = 0;
   for (int seed = 1; seed <= 4; ++seed) {
     World world(static_cast<std::uint64_t>(170 + seed), GetParam());
-    world.most_machines = 5;
+    world.cloud().machine_limit = 5;
     world.run(5);
     const auto service = world.submit(service_of(1, 3));
-    until(world, 60, [&] { return world.whole(service) == 3; });
+    run_within(world, 60, [&] { return world.whole(service) == 3; });
     const auto attempts = [&] {
       std::map<std::string, std::uint64_t> found;
       for (const auto& [host, machine] : world.machines())
@@ -614,10 +578,10 @@
         return nullptr;
       };
       std::vector<net::Request> old;
-      ASSERT_TRUE(until(world, 20, [&] { return holder() != nullptr; })) << about;
+      ASSERT_TRUE(run_within(world, 20, [&] { return holder() != nullptr; })) << about;
       const auto host = holder()->host;
       old.push_back(world.report_now(host));
-      ASSERT_TRUE(until(world, 20, [&] { return holder()->on(task, world.now(), kLease); })) << about;
+      ASSERT_TRUE(run_within(world, 20, [&] { return holder()->on(task, world.now(), kLease); })) << about;
       world.run(world.now() + 0.7);
       old.push_back(world.report_now(host));
       auto starts = world.starts();
@@ -634,7 +598,7 @@
       } else if (state == State::pending || state == State::running) {
         world.restart_machine(host, 0.3, World::Back::next_session);
       }
-      const bool reached = until(world, 40, [&] {
+      const bool reached = run_within(world, 40, [&] {
         return state == State::pending     ? start->arrives > 0 || world.starts() > starts
                : state == State::exited    ? !job.completed.empty()
                : state == State::forgotten ? job.told_done && holder() == nullptr
@@ -651,7 +615,7 @@
       if (leader != Leader::same) {
         if (leader == Leader::unhearing) cut(30);
         crash_all(world, 0.3);
-        ASSERT_TRUE(until(world, 30, [&] { return world.leader() >= 0; })) << about;
+        ASSERT_TRUE(run_within(world, 30, [&] { return world.leader() >= 0; })) << about;
         come();
         cut(0);
       }
@@ -660,11 +624,11 @@
         come();
       }
       EXPECT_TRUE(world.machines().contains(host)) << about << ": returned";
-      ASSERT_TRUE(until(world, 60, [&] { return job.told_done; })) << about;
+      ASSERT_TRUE(run_within(world, 60, [&] { return job.told_done; })) << about;
       EXPECT_EQ(world.starts(), starts) << about << ": its attempt was not left alone";
       // All room is free again.
       const auto others = world.submit(task_of(4, 2, 2));
-      EXPECT_TRUE(until(world, 60, [&] { return world.jobs().at(others).told_done; })) << about;
+      EXPECT_TRUE(run_within(world, 60, [&] { return world.jobs().at(others).told_done; })) << about;
       expect_done(world, about);
     }
 }
--- a/tests/meetings_state_test.cpp
+++ b/tests/meetings_state_test.cpp
@@ -12,11 +12,7 @@
 
 // Once all is over, or the time is.
 void expect_all_over(World& world, double within) {
-  const auto all = [&world] {
-    return std::all_of(world.jobs().begin(), world.jobs().end(),
-                       [&world](const auto& job) { return over(world, job.second); });
-  };
-  for (const double until = world.now() + within; world.now() < until && !all();) world.run(world.now() + 5);
+  run_until_all_over(world, within);
   world.run(world.now() + 10);
   EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
   EXPECT_EQ(world.leaders(), 1);
@@ -27,8 +23,8 @@
 // ---- a transaction without an answer, carried out late
 
 // Whether a later transaction has done what the held one was to do.
-bool repeated(const World& world) {
-  const auto& body = *world.held_back;
+bool repeated(World& world) {
+  const auto& body = *world.state_service().delayed;
   for (const auto& condition : body["when"]) {
     if (condition["k"] == wire::kTermKey) continue;
     const auto found = world.keys().find(condition["k"].get<std::string>());
@@ -39,9 +35,9 @@
 }
 
 // All keys that it was to create have come and gone again: its conditions are true once more.
-bool gone_again(const World& world, bool& came) {
+bool gone_again(World& world, bool& came) {
   bool there = false;
-  for (const auto& write : (*world.held_back)["writes"])
+  for (const auto& write : (*world.state_service().delayed)["writes"])
     there = there || world.keys().contains(key_of(write));
   came = came || there;
   return came && !there;
@@ -64,22 +60,17 @@
   for (int seed = 40; seed < 52 && moment < 4; ++seed) {
     SCOPED_TRACE("moment " + std::to_string(moment) + ", seed " + std::to_string(seed));
     World world(static_cast<std::uint64_t>(seed), std::get<1>(GetParam()));
-    world.hold_next = [&world, record](const wire::Json& write) { return matches(world, record, write); };
-    for (int node = 0; node < world.nodes(); ++node) {
-      world.operator_files[node] = policy_file(1);
-      world.crash(node, 0);
-    }
-    world.at(20, [&world] {
-      world.operator_files[1] = policy_file(2);
-      world.crash(1, 0.5);
-    });
+    world.state_service().delay_next = [&world, record](const wire::Json& write) {
+      return matches(world, record, write);
+    };
+    deploy_policies(world);
     for (const double when : {6.0, 14.0, 40.0, 60.0}) world.at(when, [&world] { submit_some(world); });
     // Machines come and go, and with them their records; starts that may still arrive raise the term.
     for (const double when : {30.0, 50.0}) world.at(when, [&world] { world.kill_machines(0.5); });
     for (const double when : {15.0, 40.5}) world.at(when, [&world] { world.deafen_machines(0.7, 8); });
     bool came = false;
-    while (world.now() < 150 && !world.held_back) world.run(world.now() + 0.05);
-    if (!world.held_back) continue;
+    while (world.now() < 150 && !world.state_service().delayed) world.run(world.now() + 0.05);
+    if (!world.state_service().delayed) continue;
     bool newer = false;
     for (const double limit = world.now() + 15; world.now() < limit && !newer; newer = repeated(world))
       world.run(world.now() + 0.05);
@@ -88,13 +79,13 @@
     if (moment == 3)
       for (const double limit = world.now() + 60; world.now() < limit && !gone_again(world, came);)
         world.run(world.now() + 0.1);
-    const auto writes = (*world.held_back)["writes"];
+    const auto writes = (*world.state_service().delayed)["writes"];
     const auto term = [&world] {
       const auto found = world.keys().find(wire::kTermKey);
       return found == world.keys().end() ? 0 : found->second.data["n"].get<int>();
     };
     const int before = term();
-    const auto status = world.carry_out_held().status;
+    const auto status = world.state_service().carry_out_delayed().status;
     for (const auto& write : writes)
       EXPECT_TRUE(status != 200 || key_of(write) != wire::kTermKey || term() > before)
           << "a term begun twice";
@@ -131,7 +122,7 @@
       for (int i = 1; i < 5; ++i) world.at(world.now() + 8 * i, [&world] { submit_some(world); });
       world.at(world.now() + 9 * seed, [&world] { world.crash(std::max(0, world.leader()), 1); });
       world.run(70);
-      late += world.late_executed;
+      late += world.state_service().committed_late;
       expect_all_over(world, 170);
     }
   EXPECT_GE(late, 100U);
@@ -150,18 +141,18 @@
       const auto over = [&job] { return job.told_done || job.told_cancelled > 0; };
       std::function<bool(const wire::Json&)> end = [&](const wire::Json& write) {
         if (key_of(write) != wire::job_key({uid}) || write["data"]["phase"] != phase || over()) return false;
-        world.at(world.now(), [&] { world.hold_next = end; });
+        world.at(world.now(), [&] { world.state_service().delay_next = end; });
         return true;
       };
-      world.hold_next = end;
-      while (world.now() < 60 && (phase == "done" ? !world.held_back : job.begun == 0))
+      world.state_service().delay_next = end;
+      while (world.now() < 60 && (phase == "done" ? !world.state_service().delayed : job.begun == 0))
         world.run(world.now() + 0.1);
       world.run(world.now() + 2 * seed * (phase == "done" ? 0.1 : 1));
       world.cancel(uid);
       while (world.now() < 120 && !over()) world.run(world.now() + 0.1);
-      ASSERT_TRUE(over() && world.held_back);
+      ASSERT_TRUE(over() && world.state_service().delayed);
       EXPECT_EQ(job.told_done, phase != "done");
-      EXPECT_EQ(world.carry_out_held().status, 409);
+      EXPECT_EQ(world.state_service().carry_out_delayed().status, 409);
       expect_all_over(world, 30);
     }
 }
@@ -174,10 +165,10 @@
   std::function<bool(const wire::Json&)> win = [&](const wire::Json& write) {
     if (key_of(write) != wire::kLeaderKey || lost >= world.nodes()) return false;
     ++lost;
-    world.at(world.now() + 0.001, [&] { world.hold_next = win; });
+    world.at(world.now() + 0.001, [&] { world.state_service().delay_next = win; });
     return true;
   };
-  world.hold_next = win;
+  world.state_service().delay_next = win;
   for (int node = 1; node < world.nodes(); ++node) world.crash(node, 120);
   world.run(20);
   EXPECT_GE(lost, 1);
@@ -192,11 +183,13 @@
 // and its own lease has not ended.
 TEST_P(Meeting, AWinOfBeforeBeginsNoTermAgain) {
   World world(32, GetParam());
-  world.hold_next = [](const wire::Json& write) { return key_of(write) == wire::kLeaderKey; };
+  world.state_service().delay_next = [](const wire::Json& write) {
+    return key_of(write) == wire::kLeaderKey;
+  };
   while (world.now() < 30 && !world.keys().contains(wire::kLeaderKey)) world.run(world.now() + 0.05);
-  ASSERT_TRUE(world.held_back && world.keys().contains(wire::kLeaderKey));
+  ASSERT_TRUE(world.state_service().delayed && world.keys().contains(wire::kLeaderKey));
   world.tamper(wire::kLeaderKey, std::nullopt);
-  EXPECT_EQ(world.carry_out_held().status, 409);
+  EXPECT_EQ(world.state_service().carry_out_delayed().status, 409);
   world.run(world.now() + 20);
   submit_some(world);
   expect_all_over(world, 120);
--- a/tests/meetings_users_test.cpp
+++ b/tests/meetings_users_test.cpp
@@ -175,14 +175,14 @@
     }
     EXPECT_GE(cancelled, jobs / 10);
     EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
-    EXPECT_EQ(world.requests_refused, 0U);
-    EXPECT_EQ(world.puts_refused, 0U);
-    EXPECT_LT(most(world.state_requests(), 20), 300U);
+    EXPECT_EQ(world.state_service().requests_refused, 0U);
+    EXPECT_EQ(world.state_service().writes_refused, 0U);
+    EXPECT_LT(most(world.state_service().requests_by_second(), 20), 300U);
     std::printf(
         "%d jobs, %d controllers: %llu questions, at most %llu requests a second, %llu puts refused\n", jobs,
         GetParam(), static_cast<unsigned long long>(world.looks()),
-        static_cast<unsigned long long>(most(world.state_requests(), 20)),
-        static_cast<unsigned long long>(world.puts_refused));
+        static_cast<unsigned long long>(most(world.state_service().requests_by_second(), 20)),
+        static_cast<unsigned long long>(world.state_service().writes_refused));
   }
 }
 
@@ -312,7 +312,7 @@
   }
   world.run(world.now() + 30);
   std::uint64_t puts = 0;
-  for (const auto& [second, count] : world.state_puts())
+  for (const auto& [second, count] : world.state_service().writes_by_second())
     if (second >= from && second < from + spell) puts += count;
   double slowest = 0;
   int cancelled = 0;
@@ -327,8 +327,8 @@
   EXPECT_LT(slowest, 2) << "s until a job was accepted";
   for (const auto& [uid, job] : world.jobs())
     EXPECT_TRUE(job.spec.shape != wire::Shape::daemon || job.begun > 0) << uid << " was passed over";
-  EXPECT_EQ(world.puts_refused, 0U);
-  EXPECT_EQ(world.requests_refused, 0U);
+  EXPECT_EQ(world.state_service().writes_refused, 0U);
+  EXPECT_EQ(world.state_service().requests_refused, 0U);
   const double per_job = static_cast<double>(puts) / static_cast<double>(jobs.size());
   EXPECT_LT(per_job, 4);
   EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
@@ -338,8 +338,9 @@
       "%zu jobs, %d controllers: %.2f puts each, at most %llu a second; accepted within %.3f s; %.0f kB kept "
       "by "
       "the leader, %.0f bytes a job; %.2f and %.2f s of processor time for each half\n",
-      jobs.size(), GetParam(), per_job, static_cast<unsigned long long>(most(world.state_puts(), from)),
-      slowest, leader / 1000, leader / static_cast<double>(jobs.size()), spent[0], spent[1]);
+      jobs.size(), GetParam(), per_job,
+      static_cast<unsigned long long>(most(world.state_service().writes_by_second(), from)), slowest,
+      leader / 1000, leader / static_cast<double>(jobs.size()), spent[0], spent[1]);
 }
 
 }  // namespace
--- a/tests/meetings_zones_test.cpp
+++ b/tests/meetings_zones_test.cpp
@@ -7,17 +7,11 @@
 #include <tuple>
 
 #include "sim/jobs.hpp"
+#include "sim/scenario.hpp"
 
 namespace bankhill::sim {
 namespace {
 
-bool caught(World& world, const std::string& rule) {
-  const bool seen = std::any_of(world.broken().begin(), world.broken().end(),
-                                [&](const std::string& item) { return item.starts_with(rule); });
-  if (seen) world.broken().clear();
-  return seen;
-}
-
 int on_machines(World& world, const std::string& uid, const std::string& zone = "") {
   int count = 0;
   for (const auto& [host, machine] : world.machines())
@@ -41,9 +35,9 @@
   world.tamper(wire::kLeaderKey, wire::Json::object());
   const double lost = world.now();
   world.run(lost + 85);
-  EXPECT_FALSE(caught(world, "stranded"));
+  EXPECT_FALSE(broke_rule(world, "stranded"));
   world.run(lost + 130);
-  EXPECT_TRUE(caught(world, "stranded"));
+  EXPECT_TRUE(broke_rule(world, "stranded"));
 }
 
 // ---- mute machines
@@ -66,7 +60,7 @@
       std::array{MuteCase{0.4, ""}, MuteCase{1, "zb"}, MuteCase{1, ""}}.at(static_cast<std::size_t>(kind));
   const Timing timing = slow ? kOperators : Timing{};
   World world(static_cast<std::uint64_t>(10 * controllers + kind), controllers, timing);
-  world.large_offered = false;
+  world.cloud().offers_large = false;
   world.run(5);
   std::vector<std::string> cancelled;
   for (int i = 0; i < 3; ++i) cancelled.push_back(world.submit(kept_batch(4, 1, 900)));
@@ -145,7 +139,7 @@
   const Timing timing = slow ? kOperators : Timing{};
   World world(static_cast<std::uint64_t>(20 * controllers + 4 * leads + 2 * hold + slow), controllers,
               timing);
-  world.large_offered = false;
+  world.cloud().offers_large = false;
   world.run(5);
   std::vector<std::string> cancelled;
   for (const char* zone : {"za", "zb"})
@@ -199,8 +193,8 @@
   const auto [controllers, out, share] = GetParam();
   World world(static_cast<std::uint64_t>(7 * controllers + 2 * out + static_cast<int>(4 * share)),
               controllers);
-  world.large_offered = false;
-  world.most_machines = 30;
+  world.cloud().offers_large = false;
+  world.cloud().machine_limit = 30;
   world.run(5);
   world.submit(bound_to("zb", kept_batch(6, 1, 40)));
   world.submit(bound_to("zb", kept_batch(3, 3, 40)));
@@ -246,9 +240,9 @@
 
   Pressed(int controllers, double slow)
       : world(static_cast<std::uint64_t>(30 + controllers), controllers), slow_s(slow) {
-    world.large_offered = false;
-    world.most_machines = 6;
-    world.room_used_within_s = 12 + 3 * slow_s;
+    world.cloud().offers_large = false;
+    world.cloud().machine_limit = 6;
+    world.rules().room_used_within_s = 12 + 3 * slow_s;
     if (slow_s <= 0) return;
     world.held_up = [this](const std::string& from, const std::string& to, const std::string&) {
       const auto of_workers = [](const std::string& end) {
@@ -287,9 +281,10 @@
     }
     return longest;
   }
-  std::string told() const {
-    return std::to_string(world.made_room) + " stopped, " + std::to_string(world.made_room_again) +
-           " again for the same class, " + std::to_string(world.made_room_in_vain) + " in vain";
+  std::string told() {
+    return std::to_string(world.rules().made_room) + " stopped, " +
+           std::to_string(world.rules().made_room_again) + " again for the same class, " +
+           std::to_string(world.rules().made_room_in_vain) + " in vain";
   }
 };
 
@@ -305,10 +300,10 @@
   const auto told = slow.told() + "; over quick links " + quick.told();
   RecordProperty("preemption", told);
   EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
-  EXPECT_GT(quick.world.made_room, 50U) << told;
+  EXPECT_GT(quick.world.rules().made_room, 50U) << told;
   // What makes room, not the links, decides how much is stopped.
-  EXPECT_LE(world.made_room, quick.world.made_room * 3 / 2) << told;
-  EXPECT_LE(world.made_room_again, world.made_room * 6 / 10) << told;
+  EXPECT_LE(world.rules().made_room, quick.world.rules().made_room * 3 / 2) << told;
+  EXPECT_LE(world.rules().made_room_again, world.rules().made_room * 6 / 10) << told;
   EXPECT_LT(slow.longest_wait(slow.services), 20 + 4 * slow_s);
   EXPECT_LT(slow.longest_wait(slow.urgent), 30 + 4 * slow_s);
   world.held_up = nullptr;
@@ -325,7 +320,7 @@
     for (const double slow_s : {0.0, 1.5, 4.0}) {
       Pressed pressed(controllers, slow_s);
       pressed.play();
-      EXPECT_EQ(pressed.world.made_room_in_vain, 0U)
+      EXPECT_EQ(pressed.world.rules().made_room_in_vain, 0U)
           << controllers << " controllers, up to " << slow_s << " s: " << pressed.told();
     }
 }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -4,24 +4,13 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include "free_address.hpp"
 #include "net/evhttp_client.hpp"
 #include "net/evhttp_server.hpp"
 
 namespace bankhill::net {
 namespace {
 
-std::string free_address() {
-  const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  socklen_t length = sizeof address;
-  EXPECT_EQ(bind(socket, reinterpret_cast<sockaddr*>(&address), length), 0);
-  getsockname(socket, reinterpret_cast<sockaddr*>(&address), &length);
-  ::close(socket);
-  return "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
-}
-
 class Sockets : public testing::Test {
  protected:
   bool until(const std::function<bool()>& reached) {
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -8,6 +8,8 @@
 #include <cstdio>
 
 #include "app/settings.hpp"
+#include "sim/jobs.hpp"
+#include "sim/scenario.hpp"
 #include "sim/world.hpp"
 
 namespace bankhill {
@@ -204,12 +206,6 @@
 namespace sim {
 namespace {
 
-bool caught(World& world, const std::string& rule) {
-  for (const auto& item : world.broken())
-    if (item.starts_with(rule)) return true;
-  return false;
-}
-
 // The world's time 0 is 09:00 in Oslo, on a Friday. Cutoffs each day at these minutes after that.
 std::string file(int version, const std::vector<int>& minutes, int margin_s = 0,
                  const std::string& more = "") {
@@ -227,24 +223,10 @@
   return text + more;
 }
 
-void boot_with(World& world, const std::string& text) {
-  for (int node = 0; node < world.nodes(); ++node) {
-    world.operator_files[node] = text;
-    world.crash(node, 0);
-  }
-}
-
 SimJob batch(std::uint32_t members, double cores, double run_s) {
-  SimJob job;
-  job.spec.queue = "any";
-  job.spec.owner = "red";
-  job.spec.members = members;
-  job.spec.need = {cores, 0, 1};
-  job.spec.bundle = "img-1";
-  job.spec.size_gb = 1;
-  job.spec.guess_s = job.run_s = run_s;
+  auto job = kept_batch(members, cores, run_s);
+  job.spec.need.ram_gb = 1;
   job.spec.reclaimable = true;
-  job.kept = true;
   return job;
 }
 
@@ -260,7 +242,7 @@
 // nothing is written while nothing changes.
 TEST_P(Policies, TheRecordsRuleNotTheFile) {
   World world(5, GetParam());
-  boot_with(world, file(1, {30}));
+  deploy_policy(world, file(1, {30}));
   world.run(20);
   const auto stamp = world.keys().at(wire::kPolicyKey).stamp;
   for (int node = 0; node < world.nodes(); ++node) {
@@ -319,7 +301,7 @@
 // A record that cannot be read changes nothing in force; a newer file puts it right.
 TEST(PolicySim, UnreadableRecordsLeaveTheLastGoodOne) {
   World world(9);
-  boot_with(world, file(1, {30}));
+  deploy_policy(world, file(1, {30}));
   world.run(20);
   world.write(wire::policy_key("red"), {{"calendars", 7}});
   world.write(wire::policy_key("blue"), "nonsense");
@@ -343,7 +325,7 @@
 // What does not fit a value is not stored, and holds up nothing.
 TEST(PolicySim, TooLargeAFileIsNotUsed) {
   World world(11);
-  boot_with(world, file(1, {30}));
+  deploy_policy(world, file(1, {30}));
   world.run(20);
   std::string days = "          days_off: [";
   for (int i = 0; i < 900; ++i) {
@@ -351,12 +333,12 @@
     std::snprintf(day, sizeof day, "%d-%02d-%02d, ", 2028 + i / 336, 1 + i / 28 % 12, 1 + i % 28);
     days += day;
   }
-  boot_with(world, file(2, {40}, 0, days + "2027-12-24]\n"));
+  deploy_policy(world, file(2, {40}, 0, days + "2027-12-24]\n"));
   world.run(25);
   const auto uid = world.submit(batch(4, 1, 5));
   world.run(60);
   EXPECT_EQ(world.policy(0)->version(), 1U);
-  EXPECT_EQ(world.too_large_refused, 0U);
+  EXPECT_EQ(world.state_service().transactions_refused, 0U);
   EXPECT_TRUE(world.jobs().at(uid).told_done);
   EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
 }
@@ -365,7 +347,7 @@
 TEST_P(Policies, CutoffsStandThroughARestartOfAllAcrossOne) {
   World world(13, GetParam());
   world.clock_error = 1;
-  boot_with(world, file(1, {3, 20}, 30));
+  deploy_policy(world, file(1, {3, 20}, 30));
   world.run(20);
   std::vector<std::string> before;
   for (int i = 0; i < 6; ++i) before.push_back(world.submit(batch(6, 1, 20)));
@@ -392,7 +374,7 @@
 // The last job's cutoff counts for a pipeline, and services have none.
 TEST(PolicySim, CutoffsOfServicesAndPipelines) {
   World world(15);
-  boot_with(world, file(1, {10}));
+  deploy_policy(world, file(1, {10}));
   world.run(20);
   auto service = batch(1, 1, 1000);
   service.spec.shape = wire::Shape::daemon;
@@ -417,8 +399,8 @@
   std::size_t most[2] = {0, 0};
   for (const bool with : {false, true}) {
     World world(17);
-    world.most_machines = 40;
-    if (with) boot_with(world, file(1, {25}));
+    world.cloud().machine_limit = 40;
+    if (with) deploy_policy(world, file(1, {25}));
     world.run(20);
     std::vector<std::string> uids;
     for (int i = 0; i < 4; ++i) uids.push_back(world.submit(batch(30, 1, 20)));
@@ -441,8 +423,8 @@
 // More than can be had until then: the job's owner is told before it is late.
 TEST(PolicySim, AStallIsTold) {
   World world(19);
-  world.most_machines = 4;
-  boot_with(world, file(1, {4}));
+  world.cloud().machine_limit = 4;
+  deploy_policy(world, file(1, {4}));
   world.run(20);
   const auto uid = world.submit(batch(400, 1, 30));
   world.run(100);
@@ -464,7 +446,7 @@
   if (GetParam() % 3 == 0)
     for (int node = 0; node < world.nodes(); ++node)
       if (node > 0 || GetParam() % 2 == 0) world.before_policies.insert(node);
-  boot_with(world, file(1, {2, 4, 6, 30}, 10));
+  deploy_policy(world, file(1, {2, 4, 6, 30}, 10));
   int version = 1;
   constexpr double kFaultsEnd = 150;
   double next_job = 5;
@@ -510,7 +492,7 @@
 
 TEST(Checker, SeesACutoffThatMoves) {
   World world(21);
-  boot_with(world, file(1, {10}));
+  deploy_policy(world, file(1, {10}));
   world.run(20);
   const auto uid = world.submit(batch(4, 1, 60));
   world.run(30);
@@ -518,16 +500,16 @@
   auto data = world.keys().at(wire::job_key({uid})).data;
   data["cutoff"] = data["cutoff"].get<double>() + 60;
   world.write(wire::job_key({uid}), data, true);
-  EXPECT_TRUE(caught(world, "cutoff_moved")) << listing(world.broken());
+  EXPECT_TRUE(broke_rule(world, "cutoff_moved")) << listing(world.broken());
 }
 
 TEST(Checker, SeesAPolicyThatGoesBack) {
   World world(21);
-  boot_with(world, file(2, {10}));
+  deploy_policy(world, file(2, {10}));
   world.run(20);
   ASSERT_TRUE(world.broken().empty()) << listing(world.broken());
   world.write(wire::kPolicyKey, {{"version", 1}, {"file", "x"}}, true);
-  EXPECT_TRUE(caught(world, "policy_back")) << listing(world.broken());
+  EXPECT_TRUE(broke_rule(world, "policy_back")) << listing(world.broken());
 }
 
 }  // namespace
--- a/tests/replica_days.cpp
+++ b/tests/replica_days.cpp
@@ -28,8 +28,8 @@
   World world(seed, 3);
   world.spans["serve"] = kSpan;
   world.spanning = as_one;
-  world.large_offered = false;  // a member takes a machine either way
-  world.most_machines = static_cast<int>(replicas * kSpan * 4 / 3);
+  world.cloud().offers_large = false;  // a member takes a machine either way
+  world.cloud().machine_limit = static_cast<int>(replicas * kSpan * 4 / 3);
   for (int node = 0; node < world.nodes(); ++node) world.crash(node, 0);
   world.run(5);
   SimJob job;
--- a/tests/replicas_sim_test.cpp
+++ b/tests/replicas_sim_test.cpp
@@ -2,6 +2,7 @@
 // taken back, and every rule checked after each step.
 #include <gtest/gtest.h>
 
+#include "sim/scenario.hpp"
 #include "sim/world.hpp"
 
 namespace bankhill::sim {
@@ -10,12 +11,6 @@
 constexpr std::uint32_t kSpan = 3;
 constexpr double kHalf = 9;  // paces and all: a member's end is known and its peers are stopped
 
-bool caught(World& world, const std::string& rule) {
-  for (const auto& item : world.broken())
-    if (item.starts_with(rule)) return true;
-  return false;
-}
-
 // A model that is served: each member takes a machine of its own of the smaller type.
 SimJob served(std::uint32_t members, const std::string& owner = "red") {
   SimJob job;
@@ -45,7 +40,7 @@
 
 void begin(World& world, int machines = 24) {
   world.spans["serve"] = kSpan;
-  world.most_machines = machines;
+  world.cloud().machine_limit = machines;
   for (int node = 0; node < world.nodes(); ++node) world.crash(node, 0);
   world.run(5);
 }
@@ -70,7 +65,7 @@
 TEST(ReplicaScenario, StartsAsOne) {
   World world(3);
   begin(world);
-  world.half_limit_s = kHalf;
+  world.rules().half_limit_s = kHalf;
   const auto uid = world.submit(served(7));
   EXPECT_LT(until_whole(world, uid, 2, 60), 40);
   world.run(90);
@@ -96,7 +91,7 @@
   ASSERT_LT(until_whole(world, uid, 2, 60), 60);
   world.submit(batch(1, 1));
   world.run(world.now() + 10);
-  world.half_limit_s = kHalf;
+  world.rules().half_limit_s = kHalf;
   std::set<std::string> before;
   for (std::uint32_t i = 0; i < kSpan; ++i) before.insert(host_of(world, uid, i));
   const auto starts = world.starts();
@@ -117,7 +112,7 @@
     begin(world);
     const auto uid = world.submit(served(6));
     ASSERT_LT(until_whole(world, uid, 2, 60), 60);
-    world.half_limit_s = kHalf + 21;  // a hanging machine holds its member until its lease is over
+    world.rules().half_limit_s = kHalf + 21;  // a hanging machine holds its member until its lease is over
     world.machines().at(host_of(world, uid, 4)).hung_until = world.now() + seconds;
     world.run(world.now() + 1);
     world.run(world.now() + 80);
@@ -139,7 +134,7 @@
   task.phase = wire::MemberPhase::exited;
   task.cause = wire::ExitCause::error;
   world.run(world.now() + 2);
-  world.half_limit_s = kHalf;
+  world.rules().half_limit_s = kHalf;
   EXPECT_LT(until_whole(world, uid, 2, 90), 60);
   for (std::uint32_t i = 0; i < kSpan; ++i) EXPECT_NE(host_of(world, uid, i), sick);
   EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
@@ -155,8 +150,8 @@
   ASSERT_LT(until_whole(world, uid, 2, 60), 60);
   world.submit(batch(12, 200));  // brings machines with room
   world.run(world.now() + 40);
-  world.half_limit_s = kHalf;
-  world.moves_checked = true;
+  world.rules().half_limit_s = kHalf;
+  world.rules().moves_checked = true;
   auto& machine = world.machines().at(host_of(world, uid, 1));
   const auto taken = machine.host;
   machine.taken_at = world.now() + 12;
@@ -176,7 +171,7 @@
   for (const int seed : {13, 14, 15, 16}) {
     World world(static_cast<std::uint64_t>(seed));
     begin(world);
-    world.half_limit_s = 20 + 30;  // a lease and the time to start
+    world.rules().half_limit_s = 20 + 30;  // a lease and the time to start
     const auto uid = world.submit(served(9));
     while (world.starts() < 1 + static_cast<std::uint64_t>(seed - 13) && world.now() < 60)
       world.run(world.now() + 0.02);
@@ -200,7 +195,7 @@
     ASSERT_LT(until_whole(world, uid, 2, 60), 60);
     world.submit(batch(12, 200));
     world.run(world.now() + 40);
-    world.half_limit_s = 20 + 30;
+    world.rules().half_limit_s = 20 + 30;
     auto& machine = world.machines().at(host_of(world, uid, 1));
     machine.taken_at = world.now() + 25;
     machine.report_wanted = true;
@@ -237,7 +232,7 @@
   ASSERT_FALSE(held.empty());
   world.machines().at(held).hung_until = world.now() + 16;
   world.cloud_outage(30);
-  world.half_limit_s = 20 + 30;
+  world.rules().half_limit_s = 20 + 30;
   EXPECT_LT(until_whole(world, uid, 1, 60), 60);
   EXPECT_TRUE(world.awaited_starts().contains(held)) << "the start is not late";
   world.run(world.now() + 110);
@@ -318,28 +313,28 @@
   begin(world);
   const auto uid = world.submit(served(3));
   ASSERT_LT(until_whole(world, uid, 1, 60), 60);
-  world.half_limit_s = kHalf;
+  world.rules().half_limit_s = kHalf;
   world.spanning = false;  // the next leader knows of no replicas
   for (int node = 0; node < world.nodes(); ++node) world.crash(node, 0.5);
   world.run(world.now() + 10);
-  world.most_machines = 0;
+  world.cloud().machine_limit = 0;
   const auto lost = host_of(world, uid, 1);
   for (auto& [host, machine] : world.machines())  // nor is there room elsewhere
     machine.dead = machine.dead || host == lost || machine.tasks.empty();
   world.run(world.now() + 30);
-  EXPECT_TRUE(caught(world, "half_replica"));
+  EXPECT_TRUE(broke_rule(world, "half_replica"));
 }
 
 TEST(Checker, SeesASplitReplica) {
   World world(26);
   world.spanning = false;
-  world.split_seen = true;
+  world.rules().split_seen = true;
   begin(world);
   auto job = served(3);
   job.spec.flavors = std::vector<std::string>{"large"};
   world.submit(job);
   world.run(60);
-  EXPECT_TRUE(caught(world, "split_replica"));
+  EXPECT_TRUE(broke_rule(world, "split_replica"));
 }
 
 TEST(Checker, SeesTooManyMoving) {
@@ -347,7 +342,7 @@
   begin(world);
   const auto uid = world.submit(served(9));
   ASSERT_LT(until_whole(world, uid, 3, 60), 60);
-  world.moves_checked = true;
+  world.rules().moves_checked = true;
   // A leader that stops two at once: as orders of its own they come with its fence.
   const auto fence = wire::count_field(world.keys().at(wire::kTermKey).data, "n");
   for (const std::uint32_t index : {0U, 3U}) {
@@ -358,7 +353,7 @@
         {"fence", fence}, {"tenure", machine.tenure}, {"orders", wire::to_json(std::vector{stop})}};
     world.serve_machine(machine.host, {net::Method::post, "/commands", body.dump()});
   }
-  EXPECT_TRUE(caught(world, "too_many_moving"));
+  EXPECT_TRUE(broke_rule(world, "too_many_moving"));
 }
 
 // ---- random days
@@ -379,7 +374,7 @@
     });
   }
   // A lease for what is cut off or hangs, the time to start or to complete, and what faults add to both.
-  world.half_limit_s = 20 + 30 + 20;
+  world.rules().half_limit_s = 20 + 30 + 20;
   auto job = served(6);
   job.spec.reclaimable = GetParam() % 2 == 1;  // on machines that the cloud takes back
   const auto first = world.submit(job);
@@ -401,7 +396,7 @@
   }
   world.heal();
   world.run(kFaultsEnd + 40);
-  world.half_limit_s = 20 + 30;
+  world.rules().half_limit_s = 20 + 30;
   world.run(kFaultsEnd + 200);
   EXPECT_EQ(world.whole(first), 2U);
   EXPECT_EQ(world.whole(second), 2U);
--- a/tests/sim/check_service.cpp
+++ b/tests/sim/check_service.cpp
@@ -14,15 +14,15 @@
 constexpr double kStrandedLook = 1;  // seconds between two looks for it
 }  // namespace
 
-void World::check_served(double begin_within_s, double share) {
+void RuleChecker::check_served(double begin_within_s, double share) {
   struct Count {
     double came = 0;
     double served = 0;
   };
   std::map<std::string, Count> counts;
   std::map<std::string, std::vector<const SimJob*>> classes;
-  for (const auto& [uid, job] : jobs_) {
-    if (job.broken || cancel_asked(job)) continue;
+  for (const auto& [uid, job] : world_.jobs()) {
+    if (job.broken || world_.cancel_asked(job)) continue;
     const bool served = job.spec.shape == wire::Shape::sweep ? job.told_done : job.begun > 0;
     for (const auto& group : {"class " + job.spec.queue, "team " + job.spec.owner}) {
       ++counts[group].came;
@@ -40,7 +40,8 @@
       auto& count = counts["largest of " + name];
       ++count.came;
       count.served += job->told_done ? 1 : 0;
-      if (job->begun > 0 ? job->begun - job->created > begin_within_s : now_ - job->created > begin_within_s)
+      if (job->begun > 0 ? job->begun - job->created > begin_within_s
+                         : world_.now() - job->created > begin_within_s)
         violate("unserved", job->spec.uid.value + ", of the largest of " + name + ", began after " +
                                 (job->begun > 0 ? std::to_string(job->begun - job->created) : "never"));
     }
@@ -51,20 +52,20 @@
 }
 
 // Whether a machine that is well and that the job may use has room for one more of its tasks.
-bool World::room_beside(const SimJob& job, const std::map<std::string, double>& team_cores) const {
+bool RuleChecker::room_beside(const SimJob& job, const std::map<std::string, double>& team_cores) const {
   const auto& spec = job.spec;
-  const auto team = std::find_if(settings_.teams.begin(), settings_.teams.end(),
+  const auto team = std::find_if(world_.settings().teams.begin(), world_.settings().teams.end(),
                                  [&](const auto& each) { return each.name == spec.owner; });
   const auto used = team_cores.find(spec.owner);
-  if (team == settings_.teams.end() ||
+  if (team == world_.settings().teams.end() ||
       (used == team_cores.end() ? 0 : used->second) + spec.need.cores > team->limit.cores + 1e-6)
     return false;
   std::map<std::string, std::uint32_t> zones;
   if (spec.together || spec.scatter)
-    for (const auto& [host, machine] : machines_)
+    for (const auto& [host, machine] : world_.machines())
       for (const auto& [member, task] : machine.tasks)
         if (member.job == spec.uid && task.phase != MemberPhase::exited) ++zones[machine.zone];
-  return std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
+  return std::any_of(world_.machines().begin(), world_.machines().end(), [&](const auto& entry) {
     const auto& machine = entry.second;
     if (!machine.up || machine.dead || machine.sick || machine.taken_at > 0) return false;
     if (spec.rack_room && *spec.rack_room != machine.zone) return false;
@@ -77,85 +78,90 @@
     if (spec.scatter && here >= (spec.members + 1) / 2) return false;
     wire::Amounts want = spec.need;
     for (const auto& [member, task] : machine.tasks)
-      if (task.phase != MemberPhase::exited) want += jobs_.at(member.job.value).spec.need;
+      if (task.phase != MemberPhase::exited) want += world_.jobs().at(member.job.value).spec.need;
     return want.fits(machine_resources(machine.flavor));
   });
 }
 
 // The operators' rule: all troubles over, no job waits beside room that it may use. Counted from the world's
 // machines, whatever the leader makes of them. Of replicas that span machines it knows nothing.
-void World::check_stranded() {
-  if (now_ < next_stranded_check_) return;
-  next_stranded_check_ = now_ + kStrandedLook;
-  if (disturbed()) disturbed_at_ = std::max(disturbed_at_, now_);
+void RuleChecker::check_stranded() {
+  if (world_.now() < next_stranded_check_) return;
+  next_stranded_check_ = world_.now() + kStrandedLook;
+  if (world_.disturbed()) world_.note_disturbed(world_.now());
   // A machine that died or that tasks fail on may be there for good: it is the moment that counts.
-  for (const auto& [host, machine] : machines_)
+  for (const auto& [host, machine] : world_.machines())
     if ((machine.dead || machine.sick) && failed_machines_.insert(host).second)
-      disturbed_at_ = std::max(disturbed_at_, now_);
-  if (now_ < disturbed_at_ + kStrandedLook) return beside_room_.clear();
+      world_.note_disturbed(world_.now());
+  if (world_.now() < world_.disturbed_at() + kStrandedLook) return beside_room_.clear();
   std::map<std::string, double> team_cores;
   std::map<std::string, std::uint32_t> on_machines;  // by job: tasks that are neither over nor waiting
-  for (const auto& [host, machine] : machines_)
+  for (const auto& [host, machine] : world_.machines())
     for (const auto& [member, task] : machine.tasks) {
-      const auto& job = jobs_.at(member.job.value);
+      const auto& job = world_.jobs().at(member.job.value);
       if (task.phase == MemberPhase::exited) continue;
       team_cores[job.spec.owner] += job.spec.need.cores;
       if (!job.completed.contains(member.index)) ++on_machines[member.job.value];
     }
-  for (const auto& [uid, job] : jobs_) {
+  for (const auto& [uid, job] : world_.jobs()) {
     const bool open = job.accepted && !job.told_done && job.told_cancelled == 0 && !job.broken &&
-                      span({job.spec.uid, 0}) == 1 && !cancel_asked(job);
+                      world_.span({job.spec.uid, 0}) == 1 && !world_.cancel_asked(job);
     const auto there = on_machines.contains(uid) ? on_machines.at(uid) : 0U;
     const bool waits =
         open && job.completed.size() + there < job.spec.members &&
         std::all_of(job.spec.waits_on.begin(), job.spec.waits_on.end(), [this](const wire::JobId& need) {
-          const auto record = keys_.find(wire::job_key(need));
-          return record != keys_.end() && record->second.data.is_object() &&
+          const auto record = world_.keys().find(wire::job_key(need));
+          return record != world_.keys().end() && record->second.data.is_object() &&
                  record->second.data["phase"] == "done";
         });
     if (!waits || !room_beside(job, team_cores)) {
       beside_room_.erase(uid);
       continue;
     }
-    auto& waiting = beside_room_.try_emplace(uid, Waits{now_, job.starts}).first->second;
-    if (waiting.starts != job.starts) waiting = {now_, job.starts};
-    waited_most_s = std::max(waited_most_s, now_ - waiting.since);
-    if (now_ - waiting.since <= kStrandedS) continue;
+    auto& waiting = beside_room_.try_emplace(uid, Wait{world_.now(), job.starts}).first->second;
+    if (waiting.starts != job.starts) waiting = {world_.now(), job.starts};
+    waited_most_s = std::max(waited_most_s, world_.now() - waiting.since);
+    if (world_.now() - waiting.since <= kStrandedS) continue;
     violate("stranded", uid + ": " + std::to_string(job.completed.size()) + " done and " +
                             std::to_string(there) + " on machines of " + std::to_string(job.spec.members));
     beside_room_.erase(uid);
   }
 }
 
-void World::note_stop(const SimMachine& machine, const MemberId& member) {
-  const auto job = jobs_.find(member.job.value);
-  if (job == jobs_.end() || cancel_asked(job->second) || job->second.completed.contains(member.index)) return;
+void RuleChecker::note_stop(const SimMachine& machine, const MemberId& member) {
+  const auto job = world_.jobs().find(member.job.value);
+  if (job == world_.jobs().end() || world_.cancel_asked(job->second) ||
+      job->second.completed.contains(member.index))
+    return;
   // Not where the task runs elsewhere too, or goes with its machine.
-  if (machine.taken_at > 0 || machine.sick || span(member) > 1) return;
+  if (machine.taken_at > 0 || machine.sick || world_.span(member) > 1) return;
   ++made_room;
-  room_made_.push_back({machine.host, member, now_});
+  room_made_.push_back({machine.host, member, world_.now()});
 }
 
-void World::note_room_used(const SimMachine& machine, const MemberId& member) {
-  const auto& spec = jobs_.at(member.job.value).spec;
+void RuleChecker::note_room_used(const SimMachine& machine, const MemberId& member) {
+  const auto& spec = world_.jobs().at(member.job.value).spec;
   const auto kind = spec.queue + "/" + std::to_string(static_cast<int>(spec.rank));
   std::erase_if(room_made_, [&](const RoomMade& made) {
     // What does not rank above it takes no room that was made: it finds some beside.
-    if (made.host != machine.host || spec.rank <= jobs_.at(made.member.job.value).spec.rank) return false;
+    if (made.host != machine.host || spec.rank <= world_.jobs().at(made.member.job.value).spec.rank)
+      return false;
     const auto [last, first] = made_room_for_.try_emplace(made.member, kind);
     if (!first && last->second == kind) {
       ++made_room_again;
-      log_->debug("{} made room for {} again", made.member.text(), kind);
+      world_.log()->debug("{} made room for {} again", made.member.text(), kind);
     }
     last->second = kind;
     return true;
   });
 }
 
-void World::check_room_made() {
-  for (; !room_made_.empty() && now_ - room_made_.front().at > room_used_within_s; room_made_.pop_front()) {
+void RuleChecker::check_room_made() {
+  for (; !room_made_.empty() && world_.now() - room_made_.front().at > room_used_within_s;
+       room_made_.pop_front()) {
     ++made_room_in_vain;
-    log_->debug("{} was stopped on {} in vain", room_made_.front().member.text(), room_made_.front().host);
+    world_.log()->debug("{} was stopped on {} in vain", room_made_.front().member.text(),
+                        room_made_.front().host);
   }
 }
 
--- a/tests/sim/delayed_reports.cpp
+++ b/tests/sim/delayed_reports.cpp
@@ -12,21 +12,21 @@
 }  // namespace
 
 void World::keep_copy(const std::string& body) {
-  kept_.emplace_back(now_, body);
-  while (now_ - kept_.front().first > kCopyLeases * settings_.lease_s) kept_.pop_front();
+  kept_.emplace_back(now(), body);
+  while (now() - kept_.front().first > kCopyLeases * settings_.lease_s) kept_.pop_front();
 }
 
 void World::copies_come(double share, double within_s) {
   for (const auto& [sent, body] : kept_)
     if (chance(share))
-      at(now_ + uniform(0, within_s), [this, node = pick(node_count_), body = body] {
+      at(now() + uniform(0, within_s), [this, node = pick(node_count_), body = body] {
         copy_comes(node, {Method::post, "/v1/report", body});
       });
 }
 
 void World::copy_comes(int node, const Request& report) {
   ++copies_delivered_;
-  disturbed_at_ = std::max(disturbed_at_, now_);
+  note_disturbed(now());
   to_node(node, report, [](const Response&) {});
 }
 
@@ -36,7 +36,7 @@
 
 void World::hold_reports(double share, double for_s, double after_win_s) {
   held_reports_.share = share;
-  held_reports_.until = now_ + for_s;
+  held_reports_.until = now() + for_s;
   held_reports_.after_win_s = after_win_s;
 }
 
@@ -45,14 +45,14 @@
   for (const auto& copies : std::exchange(at_win_, {}))
     for (const auto& [sent, body] : kept_) {
       if (sent < copies.since || !chance(copies.share)) continue;
-      const double when = now_ + (chance(0.5) ? 0.001 : uniform(0, copies.within_s));
+      const double when = now() + (chance(0.5) ? 0.001 : uniform(0, copies.within_s));
       for (int other = 0; other < node_count_; ++other)
         if (other == node || copies.everywhere)
           at(when, [this, other, body = body] { copy_comes(other, {Method::post, "/v1/report", body}); });
     }
   const double after = held_reports_.after_win_s;
   for (auto& body : std::exchange(held_reports_.bodies, {}))
-    at(now_ + after, [this, node, body = std::move(body)] {
+    at(now() + after, [this, node, body = std::move(body)] {
       ++late_reports_;
       to_node(node, {Method::post, "/v1/report", body}, [](const Response&) {});
     });
--- a/tests/sim/faults.cpp
+++ b/tests/sim/faults.cpp
@@ -15,11 +15,11 @@
 void World::crash(int node, double restart_after) {
   freezes_.erase(node);
   nodes_[static_cast<std::size_t>(node)].reset();
-  at(now_ + restart_after, [this, node] { boot_node(node); });
+  at(now() + restart_after, [this, node] { boot_node(node); });
 }
 
 void World::kill_machine() {
-  for (auto& [host, machine] : machines_)
+  for (auto& [host, machine] : machines())
     if (machine.up && !machine.dead && chance(0.3)) {
       machine.dead = true;
       return;
@@ -27,76 +27,76 @@
 }
 
 void World::hang_machine(double seconds) {
-  for (auto& [host, machine] : machines_)
+  for (auto& [host, machine] : machines())
     if (machine.up && !machine.dead && chance(0.3)) {
-      machine.hung_until = now_ + seconds;
+      machine.hung_until = now() + seconds;
       return;
     }
 }
 
 int World::cancel_now(int count, double hang_s) {
   std::map<std::string, std::set<std::string>> running;  // and where
-  for (const auto& [host, machine] : machines_)
+  for (const auto& [host, machine] : machines())
     for (const auto& [member, task] : machine.tasks) {
       const auto job = jobs_.find(member.job.value);
-      if (job == jobs_.end() || !machine.on(member, now_, settings_.lease_s)) continue;
+      if (job == jobs_.end() || !machine.on(member, now(), settings_.lease_s)) continue;
       const auto& it = job->second;
       const double least_s = it.run_s * std::min(1.0, it.longer);
       const bool long_to_go =
-          it.spec.shape == wire::Shape::daemon || it.begun + least_s > now_ + settings_.cancel_s;
+          it.spec.shape == wire::Shape::daemon || it.begun + least_s > now() + settings_.cancel_s;
       if (long_to_go && it.accepted && !it.cancel_asked && !it.broken) running[job->first].insert(host);
     }
   std::vector<std::string> chosen;
   for (const auto& [uid, hosts] : running) chosen.push_back(uid);
-  std::shuffle(chosen.begin(), chosen.end(), random_);
+  std::shuffle(chosen.begin(), chosen.end(), random());
   chosen.resize(std::min(chosen.size(), static_cast<std::size_t>(std::max(0, count))));
   std::set<std::string> hang;
   for (const auto& uid : chosen) {
-    at(now_ + uniform(0, kBurstS), [this, uid] { user_cancel(uid); });
+    at(now() + uniform(0, kBurstS), [this, uid] { user_cancel(uid); });
     for (const auto& host : running.at(uid))
       if (hang_s > 0 && hang.size() < kBurstHangs) hang.insert(host);
   }
-  for (const auto& host : hang) machines_.at(host).hung_until = now_ + hang_s;
+  for (const auto& host : hang) machines().at(host).hung_until = now() + hang_s;
   return static_cast<int>(chosen.size());
 }
 
 void World::kill_machines(double share) {
-  for (auto& [host, machine] : machines_)
+  for (auto& [host, machine] : machines())
     if (machine.up && chance(share)) machine.dead = true;
 }
 
 void World::kill_zone(const std::string& zone, double share) {
-  for (auto& [host, machine] : machines_)
+  for (auto& [host, machine] : machines())
     if (machine.up && machine.zone == zone && chance(share)) machine.dead = true;
 }
 
 void World::hang_machines(double share, double seconds) {
-  for (auto& [host, machine] : machines_)
-    if (machine.up && !machine.dead && chance(share)) machine.hung_until = now_ + seconds;
+  for (auto& [host, machine] : machines())
+    if (machine.up && !machine.dead && chance(share)) machine.hung_until = now() + seconds;
 }
 
 void World::deafen_machine(double seconds) {
-  for (auto& [host, machine] : machines_)
+  for (auto& [host, machine] : machines())
     if (machine.up && !machine.dead && chance(0.3)) {
-      machine.deaf_until = now_ + seconds;
+      machine.deaf_until = now() + seconds;
       return;
     }
 }
 
 void World::deafen_machines(double share, double seconds, const std::string& zone) {
-  for (auto& [host, machine] : machines_)
+  for (auto& [host, machine] : machines())
     if (machine.up && !machine.dead && (zone.empty() || machine.zone == zone) && chance(share))
-      machine.deaf_until = now_ + seconds;
+      machine.deaf_until = now() + seconds;
 }
 
 void World::mute_machines(double share, double seconds, const std::string& zone) {
-  for (auto& [host, machine] : machines_)
+  for (auto& [host, machine] : machines())
     if (machine.up && !machine.dead && (zone.empty() || machine.zone == zone) && chance(share))
-      std::tie(machine.mute_since, machine.mute_until) = std::pair(now_, now_ + seconds);
+      std::tie(machine.mute_since, machine.mute_until) = std::pair(now(), now() + seconds);
 }
 
 void World::sicken_machine() {
-  for (auto& [host, machine] : machines_)
+  for (auto& [host, machine] : machines())
     if (machine.up && !machine.dead && chance(0.3)) {
       machine.sick = true;
       return;
@@ -104,9 +104,9 @@
 }
 
 void World::reclaim_wave(double share, double notice) {
-  for (auto& [host, machine] : machines_)
+  for (auto& [host, machine] : machines())
     if (machine.spot && machine.up && !machine.dead && chance(share)) {
-      machine.taken_at = now_ + std::max(0.01, notice * uniform(0.5, 1.5));
+      machine.taken_at = now() + std::max(0.01, notice * uniform(0.5, 1.5));
       want_report(machine);
     }
 }
@@ -118,38 +118,38 @@
     if (other != name) cut(name, other, uniform(0.05, 2), true);
   }
   const double away = uniform(0.05, 0.9);
-  const double when = now_ + uniform(0, 0.5);
+  const double when = now() + uniform(0, 0.5);
   at(when, [this, node, away] { crash(node, away); });
   if (chance(0.5))
     at(when + away + uniform(0.01, 0.95 - away), [this, node] { crash(node, uniform(0.05, 0.9)); });
 }
 
 void World::restart_machine(const std::string& host, double away_s, Back how) {
-  auto& machine = machines_.at(host);
-  disturbed_at_ = std::max(disturbed_at_, now_ + away_s);
+  auto& machine = machines().at(host);
+  note_disturbed(now() + away_s);
   machine.up = machine.in_flight = false;
   machine.tasks.clear();
   ++machine.exchange;
   machine.tenure = how == Back::first_day ? 1 : machine.tenure + 1;
   if (how != Back::next_session) machine.counter = machine.fence = 0;
-  at(now_ + away_s, [this, host] {
-    const auto found = machines_.find(host);
-    if (found == machines_.end()) return;
+  at(now() + away_s, [this, host] {
+    const auto found = machines().find(host);
+    if (found == machines().end()) return;
     found->second.up = true;
-    found->second.lease_from = now_;
+    found->second.lease_from = now();
     found->second.report_wanted = true;
     found->second.last_report = -1;
   });
 }
 
 void World::restart_machines(double share) {
-  for (auto& [host, machine] : machines_)
-    if (machine.up && !machine.dead && now_ >= machine.hung_until && chance(share)) {
+  for (auto& [host, machine] : machines())
+    if (machine.up && !machine.dead && now() >= machine.hung_until && chance(share)) {
       restart_machine(host, uniform(0.05, 0.9), chance(0.5) ? Back::next_session : Back::counts_anew);
       if (chance(0.3))
-        at(now_ + 0.95, [this, host = host] {
-          if (const auto found = machines_.find(host);
-              found != machines_.end() && found->second.up && !found->second.dead)
+        at(now() + 0.95, [this, host = host] {
+          if (const auto found = machines().find(host);
+              found != machines().end() && found->second.up && !found->second.dead)
             restart_machine(host, uniform(0.05, 0.9), Back::next_session);
         });
     }
@@ -179,7 +179,7 @@
     case 7:
       return cut(node, "workers-" + zones()[static_cast<std::size_t>(pick(2))], length, hold);
     case 8:
-      for (const auto& [host, machine] : machines_)
+      for (const auto& [host, machine] : machines())
         if (chance(0.4)) cut(node, host, length, hold);
       return;
     case 9:
@@ -237,21 +237,54 @@
 }
 
 void World::heal() {
-  zone_cut_.link.until = std::min(zone_cut_.link.until, now_);
-  for (auto& [zone, until] : zone_out_until_) until = std::min(until, now_);
-  for (auto& [ends, cut] : links_) cut.until = std::min(cut.until, now_);
-  state_down_until_ = std::min(state_down_until_, now_);
-  cloud_down_until_ = std::min(cloud_down_until_, now_);
-  no_spot_until_ = std::min(no_spot_until_, now_);
-  for (auto& [node, until] : refused_until_) until = std::min(until, now_);
-  late_until_ = std::min(late_until_, now_);
-  for (auto* habit : {&close_until_, &odd_until_, &end_until_}) *habit = std::min(*habit, now_);
-  slow_until_ = std::min(slow_until_, now_);
-  for (auto& [node, until] : mute_until_) until = std::min(until, now_);
-  for (auto& [host, machine] : machines_) machine.deaf_until = std::min(machine.deaf_until, now_);
-  for (auto& [host, machine] : machines_) machine.mute_until = std::min(machine.mute_until, now_);
+  state_service_.heal();
+  cloud_.heal();
+  zone_cut_.link.until = std::min(zone_cut_.link.until, now());
+  for (auto& [ends, cut] : links_) cut.until = std::min(cut.until, now());
+  for (auto* habit : {&close_until_, &odd_until_, &end_until_}) *habit = std::min(*habit, now());
+  slow_until_ = std::min(slow_until_, now());
+  for (auto& [node, until] : mute_until_) until = std::min(until, now());
+  for (auto& [host, machine] : machines()) machine.deaf_until = std::min(machine.deaf_until, now());
+  for (auto& [host, machine] : machines()) machine.mute_until = std::min(machine.mute_until, now());
   for (auto& [node, freeze] : freezes_) freeze.pending = 0;
-  held_reports_.until = std::min(held_reports_.until, now_);
+  held_reports_.until = std::min(held_reports_.until, now());
+}
+
+std::string World::stray_machine(const std::string& zone) {
+  const auto host = cloud_.add_machine("small", zone, false).host;
+  boot_machine(host);
+  return host;
+}
+
+// What may keep a user from an answer, whatever becomes of machines and cloud.
+bool World::troubled() const {
+  return state_service_.troubled() || now() < slow_until_ || now() < zone_cut_.link.until ||
+         std::any_of(links_.begin(), links_.end(),
+                     [this](const auto& cut) { return now() < cut.second.until; }) ||
+         std::any_of(freezes_.begin(), freezes_.end(),
+                     [this](const auto& freeze) {
+                       return freeze.second.pending > 0 || now() < freeze.second.until;
+                     }) ||
+         std::any_of(nodes_.begin(), nodes_.end(), [](const auto& node) { return !node; });
+}
+
+// Whether anything is out of order, machines included.
+bool World::disturbed() const {
+  return troubled() || cloud_.is_down() || cloud_.lacks_capacity() || state_service_.delays_commits() ||
+         now() < held_reports_.until || state_service_.share_over_limit > 0 || report_delay > 0 ||
+         !state_service_.rejected_keys.empty() || state_service_.was_down() ||
+         std::any_of(mute_until_.begin(), mute_until_.end(),
+                     [this](const auto& mute) { return now() < mute.second; }) ||
+         std::any_of(machines().begin(), machines().end(), [this](const auto& entry) {
+           const auto& machine = entry.second;
+           return !machine.dead && (machine.taken_at > 0 || now() < machine.hung_until ||
+                                    now() < machine.deaf_until || now() < machine.mute_until);
+         });
+}
+
+bool World::may_lose_reports() const {
+  return now() < held_reports_.until || std::any_of(mute_until_.begin(), mute_until_.end(),
+                                                    [this](const auto& mute) { return now() < mute.second; });
 }
 
 }  // namespace bankhill::sim
--- a/tests/sim/jobs.hpp
+++ b/tests/sim/jobs.hpp
@@ -1,6 +1,10 @@
 // Jobs that scenarios submit; what differs is set on the result.
 #pragma once
 
+#include <cstdint>
+#include <string>
+#include <vector>
+
 #include "sim/world.hpp"
 
 namespace bankhill::sim {
@@ -19,10 +23,43 @@
   return job;
 }
 
+// Such a service: its tasks run until they are stopped.
 inline SimJob kept_service(std::uint32_t members, double cores) {
   auto job = kept_batch(members, cores, 0);
   job.spec.shape = wire::Shape::daemon;
   return job;
 }
 
+// Those that take machines of the small type alone.
+
+inline SimJob small_batch(std::uint32_t members, double cores, double run_s,
+                          const std::string& owner = "red") {
+  auto job = kept_batch(members, cores, run_s);
+  job.spec.owner = owner;
+  job.spec.flavors = std::vector<std::string>{"small"};
+  return job;
+}
+
+inline SimJob small_service(std::uint32_t members, double cores) {
+  auto job = small_batch(members, cores, 0);
+  job.spec.shape = wire::Shape::daemon;
+  return job;
+}
+
+// A service of another team than the batches, and above them.
+inline SimJob high_service(std::uint32_t members, double cores) {
+  auto job = small_service(members, cores);
+  job.spec.owner = "blue";
+  job.spec.rank = wire::Rank::high;
+  return job;
+}
+
+// Tasks of so many cores each, one by default.
+inline SimJob task_of(double cores, double run_s, std::uint32_t members = 1) {
+  return small_batch(members, cores, run_s);
+}
+
+// The same as a service.
+inline SimJob service_of(double cores, std::uint32_t members) { return small_service(members, cores); }
+
 }  // namespace bankhill::sim
--- a/tests/sim/meetings.cpp
+++ b/tests/sim/meetings.cpp
@@ -46,11 +46,11 @@
 
 // On some days machines are up within two seconds of their rental, or the cloud's lists are late.
 void MeetingDay::draw_machines() {
-  world_.unowned_limit_s = kOverLeases * timing_.lease_s;
-  if (world_.chance(0.5)) world_.quick_boots = world_.uniform(0.3, 1);
-  world_.lists_lag = world_.chance(0.5);
-  if (world_.quick_boots > 0) name_ += ", quick boots";
-  if (world_.lists_lag) name_ += ", late lists";
+  world_.rules().unowned_limit_s = kOverLeases * timing_.lease_s;
+  if (world_.chance(0.5)) world_.cloud().quick_boot_share = world_.uniform(0.3, 1);
+  world_.cloud().lists_lag = world_.chance(0.5);
+  if (world_.cloud().quick_boot_share > 0) name_ += ", quick boots";
+  if (world_.cloud().lists_lag) name_ += ", late lists";
 }
 
 void MeetingDay::tell(const std::string& what) { story_.push_back(text(world_.now()) + " " + what); }
@@ -69,7 +69,7 @@
   over_ = true;
   for (const auto& uid : long_jobs_) world_.cancel(uid);
   world_.heal();
-  world_.deaf_node = world_.unread_node = -1;
+  world_.state_service().node_without_watches = world_.state_service().node_without_reads = -1;
   tell("all is well");
   world_.run(world_.now() + kOverBase + kOverLeases * timing_.lease_s);
   auto broken = world_.broken();
@@ -306,7 +306,8 @@
       // Its renewals are answered, so it goes on, but it learns nothing.
       const bool reads = world_.chance(0.3);
       say(reads ? "keys are not read by" : "watches are not answered at");
-      auto& knob = reads ? world_.unread_node : world_.deaf_node;
+      auto& knob =
+          reads ? world_.state_service().node_without_reads : world_.state_service().node_without_watches;
       knob = chosen;
       return world_.at(world_.now() + seconds, [&knob] { knob = -1; });
     }
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -50,11 +50,11 @@
 
 void World::on_node(int node, std::function<void()> work) {
   auto& freeze = freezes_[node];
-  if (now_ < freeze.until)
+  if (now() < freeze.until)
     return at(freeze.until, [this, node, work = std::move(work)] { on_node(node, work); });
   if (freeze.pending > 0) {
     freeze.out_delay = std::exchange(freeze.pending, 0);
-    freeze.until = now_ + freeze.out_delay;
+    freeze.until = now() + freeze.out_delay;
   }
   work();
   freeze.out_delay = 0;
@@ -67,7 +67,7 @@
 }
 
 void World::cut(const std::string& a, const std::string& b, double seconds, bool hold) {
-  links_[std::minmax(a, b)] = {now_ + seconds, hold};
+  links_[std::minmax(a, b)] = {now() + seconds, hold};
 }
 
 void World::isolate(int node, double seconds, bool hold) {
@@ -78,14 +78,14 @@
 
 bool World::within_cut_zone(const std::string& end) const {
   if (end == controller_name(zone_cut_.node) || end == "workers-" + zone_cut_.zone) return true;
-  const auto machine = machines_.find(end);
-  return machine != machines_.end() && machine->second.zone == zone_cut_.zone;
+  const auto machine = machines().find(end);
+  return machine != machines().end() && machine->second.zone == zone_cut_.zone;
 }
 
 const World::Link* World::link(const std::string& a, const std::string& b) const {
-  if (now_ < zone_cut_.link.until && within_cut_zone(a) != within_cut_zone(b)) return &zone_cut_.link;
+  if (now() < zone_cut_.link.until && within_cut_zone(a) != within_cut_zone(b)) return &zone_cut_.link;
   const auto found = links_.find(std::minmax(a, b));
-  return found != links_.end() && now_ < found->second.until ? &found->second : nullptr;
+  return found != links_.end() && now() < found->second.until ? &found->second : nullptr;
 }
 
 void World::carry(const std::string& from, const std::string& to, double latency,
@@ -93,11 +93,11 @@
   latency += out_delay(from);
   if (held_up) {
     const double late = held_up(from, to, body);
-    if (late > kNoticedLate) disturbed_at_ = std::max(disturbed_at_, now_ + late);
+    if (late > kNoticedLate) note_disturbed(now() + late);
     latency += late;
   }
   const auto* cut = link(from, to);
-  if (cut == nullptr) return at(now_ + latency, std::move(deliver));
+  if (cut == nullptr) return at(now() + latency, std::move(deliver));
   // Held packets come when the cut is over, even if the sender has given up.
   if (cut->hold) at(cut->until + latency, std::move(deliver));
 }
@@ -114,7 +114,7 @@
   const bool old = state && asking && asking->before_policies;
   double before = latency;
   double after = latency;
-  for (int half = 0; state && now_ < slow_until_ && half < 2; ++half)
+  for (int half = 0; state && now() < slow_until_ && half < 2; ++half)
     (chance(0.5) ? before : after) += uniform(slow_from_, slow_to_) / 2;
   auto back = [this, me, peer, after, old, reply = std::move(reply)](Response response) {
     if (old) response.body = without_policies(response.body);
@@ -128,7 +128,7 @@
   if (!state && !cloud && request.path == "/commands" && (cut == nullptr || cut->hold)) {
     const auto body = Json::parse(request.body);
     for (const auto& order : wire::parse_orders(body["orders"]))
-      for (const auto& [host, machine] : machines_)
+      for (const auto& [host, machine] : machines())
         if (order.verb == wire::Verb::start && address_of(host) == address) {
           starts.push_back(++next_direct_);
           direct_starts_[next_direct_] = {host, order.member, order.try_no,
@@ -138,29 +138,24 @@
   }
   const auto body = request.body;
   const auto arrives = [this, node, state, cloud, address, request = std::move(request), back, starts,
-                        sent = now_] {
+                        sent = now()] {
     const auto arrived = [this, starts] {
       for (const auto start : starts) direct_starts_.erase(start);
     };
-    if (state) {
-      bool answered = true;
-      auto response = state_call(node, request, back, answered);
-      if (answered) back(std::move(response));
-      return;
-    }
-    if (cloud) return back(cloud_call(request));
-    for (auto& [host, machine] : machines_) {
+    if (state) return state_service_.handle(node, request, back);
+    if (cloud) return back(cloud_.handle(request));
+    for (auto& [host, machine] : machines()) {
       if (address_of(host) != address || !machine.up || machine.dead) continue;
       if (unheard(node, host, request.body)) return arrived();
-      if (now_ >= machine.hung_until) {
+      if (now() >= machine.hung_until) {
         arrived();
         return back(command(machine, request, sent));
       }
       // A hanging machine executes what has arrived when it goes on.
       return at(machine.hung_until + kGoesOnCommands, [this, host = host, request, back, arrived, sent] {
         arrived();
-        const auto found = machines_.find(host);
-        if (found != machines_.end() && !found->second.dead) back(command(found->second, request, sent));
+        const auto found = machines().find(host);
+        if (found != machines().end() && !found->second.dead) back(command(found->second, request, sent));
       });
     }
     arrived();  // nobody is there
--- /dev/null
+++ b/tests/sim/rule_checker.hpp
@@ -0,0 +1,127 @@
+// The rules that hold on every simulated day, whatever happens: the invariants and what the operators
+// promise. They are checked against the state of the site's machines, users and state service after each
+// step, and where something happens that a rule is about.
+#pragma once
+
+#include <cstdint>
+#include <deque>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "sim/machine.hpp"
+#include "wire/messages.hpp"
+
+namespace bankhill::sim {
+
+class World;
+struct SimJob;
+
+class RuleChecker {
+ public:
+  // Starts of a job's tasks after its user was told that it is cancelled.
+  struct CancelledStarts {
+    std::uint64_t all = 0;
+    std::uint64_t ordered_after = 0;  // their order left its controller after that too
+    // And nothing had kept that controller from knowing since: neither the state service nor the network.
+    std::uint64_t knowable = 0;
+    CancelledStarts& operator+=(const CancelledStarts& other);
+  };
+
+  explicit RuleChecker(World& world) : world_(world) {}
+
+  // What is broken: a rule's name, when, and what about, a line each.
+  void violate(const std::string& rule, const std::string& what);
+  std::vector<std::string>& broken() { return broken_; }
+  const CancelledStarts& cancelled_starts() const { return cancelled_starts_; }
+
+  // After the step of this number, from 1.
+  void check_step(std::uint64_t step);
+  // A transaction is about to take effect; `foreign`: no controller's.
+  void check_commit(const wire::Json& transaction, bool foreign);
+  void check_rental(const std::string& rental);
+  // A machine starts a task that was ordered then, stops one, or forgets one that has ended.
+  void check_start(const SimMachine& machine, const wire::MemberId& task, double ordered);
+  void check_stop(const SimMachine& machine, const SimTask& state, const wire::MemberId& task);
+  void check_forget(const SimMachine& machine, const wire::Order& order);
+  // A machine accepts a start.
+  void note_room_used(const SimMachine& machine, const wire::MemberId& task);
+  // See World::check_served.
+  void check_served(double begin_within_s, double share);
+
+  // What is checked, and how strictly; tests change it.
+
+  double unowned_limit_s = 0;      // in which a machine that is there and hears is recorded; 0: not checked
+  double half_limit_s = 0;         // in which a replica that is partly there is whole or gone; 0: not checked
+  double room_used_within_s = 20;  // in which something begins where a task was stopped to make room
+  bool unchecked_records = false;  // for starts that no controller ordered
+  bool split_seen = false;         // split replicas, also where the leader knows no replicas
+  bool moves_checked = false;      // replicas are stopped by nothing but moves: a part of a job's at a time
+
+  // Counts.
+
+  // Preemption: tasks stopped by command that nobody had cancelled; those among them that made room for the
+  // same class twice in a row; and those after which nothing above them began on their machine in time.
+  std::uint64_t made_room = 0;
+  std::uint64_t made_room_again = 0;
+  std::uint64_t made_room_in_vain = 0;
+  double waited_most_s = 0;  // beside room, with all well: the most that was seen (rule `stranded`)
+
+ private:
+  using Replica = std::pair<std::string, std::uint32_t>;  // job and number
+  struct Wait {                                           // of a job beside room
+    double since = 0;
+    std::uint32_t starts = 0;
+  };
+  struct RoomMade {
+    std::string host;
+    wire::MemberId member;
+    double at = 0;
+  };
+
+  void count_cancelled_start(const SimJob& job, double ordered);
+  void check_cancelled_tasks();
+
+  // check_records.cpp
+  void check_policy(const wire::Json& transaction);
+  void check_cutoffs();
+  void check_records();
+  void check_forgotten();
+  void check_owners();
+
+  // check_tasks.cpp
+  void check_replica_start(const SimMachine& machine, const wire::MemberId& member);
+  void check_replica_stop(const wire::MemberId& member);
+  void check_replicas();
+
+  // check_service.cpp
+  bool room_beside(const SimJob& job, const std::map<std::string, double>& team_cores) const;
+  void check_stranded();
+  void note_stop(const SimMachine& machine, const wire::MemberId& member);
+  void check_room_made();
+
+  World& world_;
+  std::vector<std::string> broken_;
+  CancelledStarts cancelled_starts_;
+  double troubled_at_ = 0;  // when something between users, controllers and the state service last was broken
+  double step_troubled_at_ = 0;                           // the same, after each step
+  std::map<std::string, std::optional<double>> cutoffs_;  // of each job, as first committed
+  std::set<std::string> rentals_recorded_;                // names whose records were committed at some time
+  double next_owner_check_ = 0;
+  std::map<Replica, double> half_since_;
+  std::set<Replica> on_move_;
+  double next_replica_check_ = 0;
+  std::set<std::string> failed_machines_;  // dead or sick
+  double next_stranded_check_ = 0;
+  std::map<std::string, Wait> beside_room_;
+  std::deque<RoomMade> room_made_;                       // and not used yet
+  std::map<wire::MemberId, std::string> made_room_for_;  // class and rank, the last time
+};
+
+// The broken rules, a line each.
+std::string listing(const std::vector<std::string>& broken);
+
+}  // namespace bankhill::sim
--- a/tests/sim/state_service.cpp
+++ b/tests/sim/state_service.cpp
@@ -1,7 +1,9 @@
-// The stand-in of the state service.
+#include "sim/state_service.hpp"
+
 #include <algorithm>
+#include <memory>
 
-#include "sim/world.hpp"
+#include "wire/records.hpp"
 
 namespace bankhill::sim {
 
@@ -10,240 +12,304 @@
 using net::Response;
 using wire::Json;
 
-void World::serve_state(const Request& request, net::Reply reply) {
-  bool answered = true;
-  auto response = state_call(0, request, reply, answered);
-  if (answered) reply(std::move(response));
-}
+namespace {
+constexpr double kUnansweredShare = 0.002;  // of all requests
+constexpr std::size_t kConditionsPerOperation = 4;
+constexpr std::string_view kKeysPath = "/keys/";
+constexpr std::string_view kLeasesPath = "/leases/";
 
-void World::write(const std::string& key, Json data, bool checked) {
-  foreign_ = !checked;
-  commit(Json{{"when", Json::array()}, {"writes", {{{"write", key}, {"data", std::move(data)}}}}});
-  foreign_ = false;
+Response unavailable() { return {503, "{}", std::nullopt}; }
+Response over_limit_response() { return {429, "{}", std::nullopt}; }
+Response bad_request(const std::string& error) { return {400, Json{{"error", error}}.dump(), std::nullopt}; }
+
+// What follows this name and "=" in a path's query.
+std::string query_value(const std::string& path, const std::string& name) {
+  return path.substr(path.find(name + "=") + name.size() + 1);
 }
+}  // namespace
+
+StateService::StateService(EventQueue& events, StateLimits limits, StateLimits next_limits, Observer observer)
+    : events_(events),
+      observer_(std::move(observer)),
+      limits_(limits),
+      next_limits_(next_limits),
+      first_writes_per_s_(limits.writes_per_s) {}
 
-void World::drop_hold(std::uint64_t hold) {
-  holds_.erase(hold);
+// ---- leases and watches
+
+void StateService::revoke_lease(std::uint64_t lease_id) {
+  leases_.erase(lease_id);
   std::vector<std::string> gone;
   for (const auto& [key, entry] : keys_)
-    if (entry.hold == hold) gone.push_back(key);
+    if (entry.hold == lease_id) gone.push_back(key);
   if (gone.empty()) return;
-  ++epoch_;
+  ++revision_;
   for (const auto& key : gone) {
     keys_.erase(key);
-    history_.emplace_back(epoch_, Json{{"delete", key}, {"stamp", epoch_}});
+    history_.emplace_back(revision_, Json{{"delete", key}, {"stamp", revision_}});
   }
-  state_changed();
+  notify_watchers();
 }
 
-void World::expire_holds() {
-  const bool down = now_ < state_down_until_;
-  if (down) {
-    state_was_down_ = true;
+void StateService::expire_leases() {
+  if (is_down()) {
+    was_down_ = true;
     return;
   }
-  if (std::exchange(state_was_down_, false))
-    for (auto& [hold, life] : holds_) life.second = now_ + life.first;
+  if (std::exchange(was_down_, false))
+    for (auto& [id, lease] : leases_) lease.ends = events_.now() + lease.ttl_s;
   std::vector<std::uint64_t> over;
-  for (const auto& [hold, life] : holds_)
-    if (now_ > life.second) over.push_back(hold);
-  for (const auto hold : over) drop_hold(hold);
+  for (const auto& [id, lease] : leases_)
+    if (events_.now() > lease.ends) over.push_back(id);
+  for (const auto id : over) revoke_lease(id);
 }
 
-void World::state_changed() {
+void StateService::notify_watchers() {
   auto watchers = std::exchange(watchers_, {});
-  for (auto& watcher : watchers) at(now_, std::move(watcher));
+  for (auto& watcher : watchers) events_.at(events_.now(), std::move(watcher));
 }
 
-Json World::news(std::uint64_t after) const {
+Json StateService::changes_since(std::uint64_t revision) const {
   Json list = Json::array();
-  for (const auto& [epoch, change] : history_)
-    if (epoch > after) list.push_back(change);
-  return Json{{"epoch", epoch_}, {"news", std::move(list)}};
+  for (const auto& [changed_at, change] : history_)
+    if (changed_at > revision) list.push_back(change);
+  return Json{{"epoch", revision_}, {"news", std::move(list)}};
 }
 
-bool World::too_large(const Json& body) const {
-  if (body.dump().size() > wire::kMaxBody || body["writes"].size() > limits_.state_txn_ops ||
-      body["when"].size() > 4 * limits_.state_txn_ops)
+// ---- transactions
+
+bool StateService::too_large(const Json& transaction) const {
+  const auto operations = limits_.transaction_operations;
+  if (transaction.dump().size() > wire::kMaxBody || transaction["writes"].size() > operations ||
+      transaction["when"].size() > kConditionsPerOperation * operations)
     return true;
-  return std::any_of(body["writes"].begin(), body["writes"].end(), [this](const Json& write) {
+  const auto& writes = transaction["writes"];
+  return std::any_of(writes.begin(), writes.end(), [this](const Json& write) {
     return write.contains("data") &&
-           static_cast<double>(write["data"].dump().size()) > limits_.state_value_kb * 1024;
+           static_cast<double>(write["data"].dump().size()) > limits_.value_kb * 1024;
   });
 }
 
-Response World::commit(const Json& body) {
-  if (too_large(body)) {
-    ++too_large_refused;
-    return {400, R"({"error":"too large"})", std::nullopt};
-  }
-  for (const auto& write : body["writes"])
-    if (write.contains("hold") && !holds_.contains(write["hold"].get<std::uint64_t>()))
-      return {400, R"({"error":"no such lease"})", std::nullopt};
+Json StateService::failed_conditions(const Json& transaction) const {
   Json failed = Json::array();
-  for (const auto& condition : body["when"]) {
+  for (const auto& condition : transaction["when"]) {
     const auto found = keys_.find(condition["k"].get<std::string>());
-    if ((found == keys_.end() ? 0 : found->second.stamp) != condition["stamp"].get<std::uint64_t>())
-      failed.push_back(condition["k"]);
+    const auto stamp = found == keys_.end() ? 0 : found->second.stamp;
+    if (stamp != condition["stamp"].get<std::uint64_t>()) failed.push_back(condition["k"]);
   }
-  if (!failed.empty()) return {409, Json{{"failed", failed}, {"epoch", epoch_}}.dump(), std::nullopt};
-  for (const auto& write : body["writes"])
-    if (write.contains("write") && untaken.contains(write["write"].get<std::string>()))
-      return {400, R"({"error":"too large"})", std::nullopt};
-  check_commit(body);
-  if (!body["writes"].empty()) {
-    const bool vacant = !keys_.contains(wire::kLeaderKey);
-    ++epoch_;
-    for (const auto& write : body["writes"]) {
-      if (write.contains("write")) {
-        const auto key = write["write"].get<std::string>();
-        keys_[key] = {write["data"], epoch_, write.value("hold", std::uint64_t{0})};
-        if (key.starts_with(wire::kRentals)) rentals_recorded_.insert(key.substr(wire::kRentals.size()));
-        history_.emplace_back(epoch_, Json{{"write", key}, {"data", write["data"]}, {"stamp", epoch_}});
-      } else {
-        const auto key = write["delete"].get<std::string>();
-        if (keys_.erase(key) > 0) history_.emplace_back(epoch_, Json{{"delete", key}, {"stamp", epoch_}});
-      }
+  return failed;
+}
+
+void StateService::apply(const Json& writes) {
+  ++revision_;
+  for (const auto& write : writes) {
+    if (write.contains("write")) {
+      const auto key = write["write"].get<std::string>();
+      keys_[key] = {write["data"], revision_, write.value("hold", std::uint64_t{0})};
+      history_.emplace_back(revision_, Json{{"write", key}, {"data", write["data"]}, {"stamp", revision_}});
+    } else {
+      const auto key = write["delete"].get<std::string>();
+      if (keys_.erase(key) > 0) history_.emplace_back(revision_, Json{{"delete", key}, {"stamp", revision_}});
     }
-    state_changed();
-    for (const auto& write : body["writes"])
+  }
+  notify_watchers();
+}
+
+Response StateService::commit(const Json& transaction) {
+  if (too_large(transaction)) {
+    ++transactions_refused;
+    return bad_request("too large");
+  }
+  const auto& writes = transaction["writes"];
+  for (const auto& write : writes)
+    if (write.contains("hold") && !leases_.contains(write["hold"].get<std::uint64_t>()))
+      return bad_request("no such lease");
+  const auto failed = failed_conditions(transaction);
+  if (!failed.empty()) return {409, Json{{"failed", failed}, {"epoch", revision_}}.dump(), std::nullopt};
+  for (const auto& write : writes)
+    if (write.contains("write") && rejected_keys.contains(write["write"].get<std::string>()))
+      return bad_request("too large");
+  observer_.before_commit(transaction);
+  if (!writes.empty()) {
+    const bool vacant = !keys_.contains(wire::kLeaderKey);
+    apply(writes);
+    for (const auto& write : writes)
       if (vacant && write.value("write", "") == wire::kLeaderKey && write["data"].is_object())
-        won(wire::parse_leader_record(write["data"]).node.back() - '0');
+        observer_.leader_elected(wire::parse_leader_record(write["data"]).node.back() - '0');
+  }
+  return {200, Json{{"epoch", revision_}}.dump(), std::nullopt};
+}
+
+void StateService::overwrite(const std::string& key, std::optional<Json> data) {
+  ++revision_;
+  if (data) {
+    keys_[key] = {*data, revision_, 0};
+    history_.emplace_back(revision_, Json{{"write", key}, {"data", std::move(*data)}, {"stamp", revision_}});
+  } else {
+    keys_.erase(key);
+    history_.emplace_back(revision_, Json{{"delete", key}, {"stamp", revision_}});
   }
-  return {200, Json{{"epoch", epoch_}}.dump(), std::nullopt};
+  notify_watchers();
+}
+
+// ---- faults
+
+void StateService::delay_commits(double share, double seconds, bool at_once) {
+  delayed_share_ = share;
+  delayed_until_ = events_.now() + seconds;
+  delayed_at_once_ = at_once;
+}
+
+void StateService::heal() {
+  const double now = events_.now();
+  down_until_ = std::min(down_until_, now);
+  delayed_until_ = std::min(delayed_until_, now);
+  for (auto& [node, until] : refused_until_) until = std::min(until, now);
+}
+
+bool StateService::troubled() const {
+  return is_down() || node_without_watches >= 0 || node_without_reads >= 0 || !unreadable.empty() ||
+         writes_exhausted ||
+         std::any_of(refused_until_.begin(), refused_until_.end(),
+                     [this](const auto& refused) { return events_.now() < refused.second; });
 }
 
-// Some requests get no answer; transactions among them may be carried out, at once or later.
-bool World::unanswered(int node, const Request& request) {
-  const bool any = chance(0.002);
+bool StateService::is_refused(int node) const {
+  const auto found = refused_until_.find(node);
+  return found != refused_until_.end() && events_.now() < found->second;
+}
+
+bool StateService::goes_unanswered(int node, const Request& request) {
+  const bool any = events_.chance(kUnansweredShare);
   if (request.path != "/commit") return any;
-  auto body = Json::parse(request.body);
-  const auto& writes = body["writes"];
-  if (hold_next && std::any_of(writes.begin(), writes.end(), hold_next)) {
-    hold_next = nullptr;
-    held_back = std::move(body);
+  auto transaction = Json::parse(request.body);
+  const auto& writes = transaction["writes"];
+  if (delay_next && std::any_of(writes.begin(), writes.end(), delay_next)) {
+    delay_next = nullptr;
+    delayed = std::move(transaction);
     return true;
   }
-  if (lose_next && std::any_of(writes.begin(), writes.end(), lose_next)) {
-    lose_next = nullptr;
-    lost_by = node;
-    lost_answers_count += commit(body).status == 200 ? 1U : 0U;
+  if (lose_answer_of_next && std::any_of(writes.begin(), writes.end(), lose_answer_of_next)) {
+    lose_answer_of_next = nullptr;
+    lost_answer_of = node;
+    lost_answers += commit(transaction).status == 200 ? 1U : 0U;
     return true;
   }
-  const bool late = now_ < late_until_ && chance(late_share_);
+  const bool late = delays_commits() && events_.chance(delayed_share_);
   if (!any && !late) return false;
-  if (!late && chance(0.5)) return true;
-  const double delay = late && late_at_once_ ? 0.0
-                       : late                ? uniform(2, 12)
-                       : chance(0.5)         ? 0.0
-                                             : uniform(0.5, 15);
-  if (late) disturbed_at_ = std::max(disturbed_at_, now_ + delay);
-  at(now_ + delay, [this, body = std::move(body)] { late_executed += commit(body).status == 200 ? 1U : 0U; });
+  if (!late && events_.chance(0.5)) return true;
+  const double delay = late && delayed_at_once_ ? 0.0
+                       : late                   ? events_.uniform(2, 12)
+                       : events_.chance(0.5)    ? 0.0
+                                                : events_.uniform(0.5, 15);
+  if (late) observer_.commit_postponed(events_.now() + delay);
+  events_.at(events_.now() + delay, [this, transaction = std::move(transaction)] {
+    committed_late += commit(transaction).status == 200 ? 1U : 0U;
+  });
   return true;
 }
 
-Response World::state_call(int node, const Request& request, const net::Reply& later, bool& answered) {
-  const bool refused = refused_until_.contains(node) && now_ < refused_until_[node];
-  ++state_requests_[static_cast<int>(now_)];
-  if (now_ < state_down_until_ || refused) return {503, "{}", std::nullopt};
-  if (unanswered(node, request)) {
-    answered = false;
-    return {};
+bool StateService::over_limit(std::optional<net::RateLimit>& limit, double rate, double amount) {
+  if (!limit) limit.emplace(rate, rate);
+  return !limit->take(events_.now(), amount);
+}
+
+// ---- requests
+
+void StateService::handle(int node, const Request& request, const net::Reply& reply) {
+  if (auto response = answer(node, request, reply)) reply(std::move(*response));
+}
+
+std::optional<Response> StateService::answer(int node, const Request& request, const net::Reply& later) {
+  ++requests_by_second_[static_cast<int>(events_.now())];
+  if (is_down() || is_refused(node)) return unavailable();
+  if (goes_unanswered(node, request)) return std::nullopt;
+  if (over_limit(request_rate_, limits_.requests_per_s, 1) || events_.chance(share_over_limit)) {
+    ++requests_refused;
+    return over_limit_response();
   }
-  const auto limited = [this](std::optional<net::RateLimit>& limit, double rate, double amount) {
-    if (!limit) limit.emplace(rate, rate);
-    return !limit->take(now_, amount);
-  };
-  if (limited(requests_, limits_.state_rps, 1) || chance(at_limit))
-    return ++requests_refused, Response{429, "{}", std::nullopt};
-  if (request.path == "/commit") {
-    const auto body = Json::parse(request.body);
-    state_puts_[static_cast<int>(now_)] += body["writes"].size();
-    if (no_puts && !body["writes"].empty()) return ++puts_refused, Response{429, "{}", std::nullopt};
-    if (unanswered_puts > 0 && body["writes"].size() == 1 &&
-        body["writes"][0].value("write", "").starts_with(wire::kJobs)) {
-      --unanswered_puts;
-      answered = false;
-      commit(body);
-      return {};
-    }
-    auto& puts = limits_.state_write_rps < settings_.state_write_rps ? puts_next_ : puts_;
-    if (!too_large(body) &&
-        limited(puts, limits_.state_write_rps, static_cast<double>(body["writes"].size())))
-      return ++puts_refused, Response{429, "{}", std::nullopt};
-    return commit(body);
+  const auto& path = request.path;
+  if (path == "/commit") return answer_commit(request);
+  if (path.starts_with("/leases")) return answer_lease(request);
+  if (path.starts_with("/watch")) return answer_watch(node, request, later);
+  if (path.starts_with("/keys?")) return answer_list();
+  return answer_read(node, path.substr(kKeysPath.size()));
+}
+
+std::optional<Response> StateService::answer_commit(const Request& request) {
+  const auto transaction = Json::parse(request.body);
+  const auto& writes = transaction["writes"];
+  writes_by_second_[static_cast<int>(events_.now())] += writes.size();
+  if (writes_exhausted && !writes.empty()) {
+    ++writes_refused;
+    return over_limit_response();
   }
-  if (request.path == "/leases") {
-    const double ttl = Json::parse(request.body)["ttl_ms"].get<double>() / 1000;
-    const auto hold = next_hold_++;
-    holds_[hold] = {ttl, now_ + ttl};
-    return {200, Json{{"hold", hold}}.dump(), std::nullopt};
+  if (unanswered_job_writes > 0 && writes.size() == 1 &&
+      writes[0].value("write", "").starts_with(wire::kJobs)) {
+    --unanswered_job_writes;
+    commit(transaction);
+    return std::nullopt;
   }
-  if (request.path.starts_with("/leases/")) {
-    const auto hold = std::stoull(request.path.substr(8));
-    if (request.method == Method::del) {
-      drop_hold(hold);
-      return {200, "{}", std::nullopt};
-    }
-    const auto found = holds_.find(hold);
-    if (found == holds_.end()) return {404, "{}", std::nullopt};
-    found->second.second = now_ + found->second.first;
-    return {200, "{}", std::nullopt};
+  auto& rate = tightened() ? next_write_rate_ : write_rate_;
+  if (!too_large(transaction) && over_limit(rate, limits_.writes_per_s, static_cast<double>(writes.size()))) {
+    ++writes_refused;
+    return over_limit_response();
   }
-  if (request.path.starts_with("/watch")) {
-    if (node == deaf_node) {
-      answered = false;
-      return {};
-    }
-    const auto after = std::stoull(request.path.substr(request.path.find("after=") + 6));
-    const double block = std::stod(request.path.substr(request.path.find("block_ms=") + 9)) / 1000;
-    if (block == 0 || epoch_ > after) return {200, news(after).dump(), std::nullopt};
-    answered = false;
-    auto once = std::make_shared<bool>(false);
-    auto answer = [this, after, later, once, node] {
-      if (std::exchange(*once, true)) return;
-      // Open watches wait while the service is out or refuses the node.
-      const double until =
-          std::max(state_down_until_, refused_until_.contains(node) ? refused_until_[node] : 0.0);
-      at(std::max(now_, until), [this, after, later] { later({200, news(after).dump(), std::nullopt}); });
-    };
-    watchers_.push_back(answer);
-    at(now_ + block, answer);
-    return {};
+  return commit(transaction);
+}
+
+Response StateService::answer_lease(const Request& request) {
+  if (request.path == "/leases") {
+    const double ttl_s = Json::parse(request.body)["ttl_ms"].get<double>() / 1000;
+    const auto id = next_lease_id_++;
+    leases_[id] = {ttl_s, events_.now() + ttl_s};
+    return {200, Json{{"hold", id}}.dump(), std::nullopt};
   }
-  if (request.path.starts_with("/keys?")) {
-    Json items = Json::array();
-    for (const auto& [key, entry] : keys_)
-      items.push_back({{"k", key}, {"data", entry.data}, {"stamp", entry.stamp}});
-    return {200, Json{{"items", items}, {"has_next", false}, {"epoch", epoch_}}.dump(), std::nullopt};
+  const auto id = std::stoull(request.path.substr(kLeasesPath.size()));
+  if (request.method == Method::del) {
+    revoke_lease(id);
+    return {200, "{}", std::nullopt};
   }
-  if (node == unread_node || unread.contains(request.path.substr(6))) return {503, "{}", std::nullopt};
-  const auto found = keys_.find(request.path.substr(6));
-  if (found == keys_.end()) return {404, Json{{"epoch", epoch_}}.dump(), std::nullopt};
-  return {200, Json{{"k", found->first}, {"data", found->second.data}, {"stamp", found->second.stamp}}.dump(),
-          std::nullopt};
+  const auto found = leases_.find(id);
+  if (found == leases_.end()) return {404, "{}", std::nullopt};
+  found->second.ends = events_.now() + found->second.ttl_s;
+  return {200, "{}", std::nullopt};
+}
+
+std::optional<Response> StateService::answer_watch(int node, const Request& request,
+                                                   const net::Reply& later) {
+  if (node == node_without_watches) return std::nullopt;
+  const auto after = std::stoull(query_value(request.path, "after"));
+  const double block_s = std::stod(query_value(request.path, "block_ms")) / 1000;
+  if (block_s == 0 || revision_ > after) return Response{200, changes_since(after).dump(), std::nullopt};
+  auto answered = std::make_shared<bool>(false);
+  auto respond = [this, after, later, answered, node] {
+    if (std::exchange(*answered, true)) return;
+    // Open watches wait while the service is out or refuses the node.
+    const auto refused = refused_until_.find(node);
+    const double until = std::max(down_until_, refused == refused_until_.end() ? 0.0 : refused->second);
+    events_.at(std::max(events_.now(), until), [this, after, later] {
+      later({200, changes_since(after).dump(), std::nullopt});
+    });
+  };
+  watchers_.push_back(respond);
+  events_.at(events_.now() + block_s, respond);
+  return std::nullopt;
 }
 
-bool World::recorded(const std::string& host) const {
-  for (auto key = keys_.lower_bound(wire::kMachines);
-       key != keys_.end() && key->first.starts_with(wire::kMachines); ++key)
-    if (key->second.data.is_object() &&
-        wire::parse_machine_group(key->first.substr(wire::kMachines.size()), key->second.data)
-            .hosts.contains(wire::HostId{host}))
-      return true;
-  return false;
+Response StateService::answer_list() const {
+  Json items = Json::array();
+  for (const auto& [key, entry] : keys_)
+    items.push_back({{"k", key}, {"data", entry.data}, {"stamp", entry.stamp}});
+  return {200, Json{{"items", items}, {"has_next", false}, {"epoch", revision_}}.dump(), std::nullopt};
 }
 
-void World::tamper(const std::string& key, std::optional<Json> data) {
-  ++epoch_;
-  if (data) {
-    keys_[key] = {*data, epoch_, 0};
-    history_.emplace_back(epoch_, Json{{"write", key}, {"data", std::move(*data)}, {"stamp", epoch_}});
-  } else {
-    keys_.erase(key);
-    history_.emplace_back(epoch_, Json{{"delete", key}, {"stamp", epoch_}});
-  }
-  state_changed();
+Response StateService::answer_read(int node, const std::string& key) const {
+  if (node == node_without_reads || unreadable.contains(key)) return unavailable();
+  const auto found = keys_.find(key);
+  if (found == keys_.end()) return {404, Json{{"epoch", revision_}}.dump(), std::nullopt};
+  const auto& entry = found->second;
+  return {200, Json{{"k", key}, {"data", entry.data}, {"stamp", entry.stamp}}.dump(), std::nullopt};
 }
 
 }  // namespace bankhill::sim
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -62,7 +62,7 @@
     violate("went_back", uid + " withdrawn: " + how);
   const auto first = [this](double& left) {
     if (left > 0) return false;
-    left = now_;
+    left = now();
     return true;
   };
   const bool accepted = first(job.accepted_left);
@@ -74,26 +74,26 @@
 // ---- close looks
 
 void World::close_looks(double seconds, double cancelled_at_once) {
-  close_until_ = std::max(close_until_, now_ + seconds);
+  close_until_ = std::max(close_until_, now() + seconds);
   close_cancelled_ = cancelled_at_once;
 }
 
 void World::look_closely(const std::string& uid, bool just_accepted) {
-  if (now_ >= close_until_) return;
+  if (now() >= close_until_) return;
   auto& job = jobs_.at(uid);
   for (const double ms : {0.3, 1.0, 3.0, 6.0, 12.0, 30.0, 80.0})
     for (int node = 0; node < node_count_; ++node)
-      at(now_ + ms / 1000 * uniform(0.8, 1.2), [this, uid, node] { look(uid, question(uid), node); });
+      at(now() + ms / 1000 * uniform(0.8, 1.2), [this, uid, node] { look(uid, question(uid), node); });
   for (const double ms : {0.5, 20.0})
     for (int node = 0; node < node_count_; ++node)
-      at(now_ + ms / 1000 * uniform(0.8, 1.2),
+      at(now() + ms / 1000 * uniform(0.8, 1.2),
          [this, uid, node] { look(uid, submission(jobs_.at(uid)), node); });
   // What is over is withdrawn once more: the answer says how it ended.
   if (job.done_left > 0 || job.cancelled_left > 0)
-    at(now_ + uniform(0.0005, 0.03),
+    at(now() + uniform(0.0005, 0.03),
        [this, uid, node = pick(node_count_)] { look(uid, withdrawal(uid), node); });
   if (just_accepted && !job.kept && chance(close_cancelled_))
-    at(now_ + uniform(0.003, 0.05), [this, uid] { user_cancel(uid); });
+    at(now() + uniform(0.003, 0.05), [this, uid] { user_cancel(uid); });
 }
 
 void World::look(const std::string& uid, Request request, int node) {
@@ -101,10 +101,10 @@
   const bool status = request.method == Method::get;
   user_call(
       uid, std::move(request), status ? 2 : 5,
-      [this, uid, status, asked = now_](const Response& response) {
+      [this, uid, status, asked = now()](const Response& response) {
         if (response.status != 200) return;
         auto& job = jobs_.at(uid);
-        (status ? job.status_told : job.submission_told) = now_;
+        (status ? job.status_told : job.submission_told) = now();
         check_phase(job, response, asked);
       },
       node);
@@ -113,14 +113,14 @@
 // ---- odd requests
 
 void World::odd_requests(double seconds) {
-  const bool goes_on = now_ < odd_until_;
-  odd_until_ = std::max(odd_until_, now_ + seconds);
+  const bool goes_on = now() < odd_until_;
+  odd_until_ = std::max(odd_until_, now() + seconds);
   if (!goes_on) odd_request();
 }
 
 void World::odd_request() {
-  if (now_ >= odd_until_) return;
-  at(now_ + uniform(0.05, 0.6), [this] { odd_request(); });
+  if (now() >= odd_until_) return;
+  at(now() + uniform(0.05, 0.6), [this] { odd_request(); });
   switch (pick(4)) {
     case 0:
       return repeat_unfinished();
@@ -221,32 +221,32 @@
 
 void World::cancel_at_end(double share, double seconds, double within_s) {
   end_share_ = share;
-  end_until_ = std::max(end_until_, now_ + seconds);
+  end_until_ = std::max(end_until_, now() + seconds);
   end_within_ = within_s;
 }
 
 // Of a task that has started; the job's last one counts.
 void World::end_is_near(const SimJob& job, double ends) {
-  if (now_ >= end_until_ || job.broken || !chance(end_share_)) return;
-  at(std::max(now_, ends + uniform(-end_within_, end_within_)), [this, uid = job.spec.uid.value, ends] {
+  if (now() >= end_until_ || job.broken || !chance(end_share_)) return;
+  at(std::max(now(), ends + uniform(-end_within_, end_within_)), [this, uid = job.spec.uid.value, ends] {
     auto& ending = jobs_.at(uid);
     const auto open = ending.spec.members - ending.completed.size();
-    const bool last = now_ < ends ? open == 1 : open == 0 && ending.completed_at >= ends - 0.001;
+    const bool last = now() < ends ? open == 1 : open == 0 && ending.completed_at >= ends - 0.001;
     if (!last || ending.cancel_asked) return;
     ++met_ends_;
     user_cancel(uid);
     // At another controller too, so that two of them want the same end.
-    if (chance(0.3)) at(now_ + uniform(0, 0.01), [this, uid] { user_cancel(uid); });
+    if (chance(0.3)) at(now() + uniform(0, 0.01), [this, uid] { user_cancel(uid); });
   });
 }
 
 void World::completed(SimJob& job) {
   const auto& uid = job.spec.uid.value;
-  job.completed_at = now_;
+  job.completed_at = now();
   look_closely(uid, false);
   if (!punctual) return;
   for (int node = 0; node < node_count_; ++node)
-    at(now_ + kLagS, [this, uid, node] {
+    at(now() + kLagS, [this, uid, node] {
       user_call(
           uid, question(uid), 2,
           [this, uid](const Response& response) {
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -6,21 +6,36 @@
 
 namespace bankhill::sim {
 
+namespace {
+constexpr std::uint64_t kUnknownSteps = 64;  // between questions about unknown jobs
+
+StateLimits limits_of(const app::Settings& settings) {
+  return {settings.state_rps, settings.state_write_rps, settings.state_value_kb, settings.state_txn_ops};
+}
+
+// Not as the controllers read them: what they get wrong must show.
+StateLimits next_limits_of(const app::Settings& settings) {
+  return {settings.state_rps, kNextWriteRps, kNextValueKb, kNextTxnOps};
+}
+}  // namespace
+
 using net::Request;
 
 World::World(std::uint64_t seed, int controllers, Timing timing)
     : node_count_(controllers > 0 ? controllers : kNodes),
       timing_(timing),
-      random_(seed),
+      events_(seed),
       log_(sim_log(*this, "world")),
       settings_(site_settings(0, node_count_, false, timing)),
-      settings_next_(site_settings(0, node_count_, true, timing)),
-      limits_(settings_),
+      state_service_(events_, limits_of(settings_), next_limits_of(settings_),
+                     {[this](const wire::Json& transaction) { rules_.check_commit(transaction, foreign_); },
+                      [this](int node) { won(node); }, [this](double time) { note_disturbed(time); }}),
+      cloud_(events_, {[this](const std::string& rental) { rules_.check_rental(rental); },
+                       [this](SimMachine& machine) { machine.node = pick(node_count_); },
+                       [this](const std::string& host) { boot_machine(host); },
+                       [this](const std::string& host) { return address_of(host); }}),
+      rules_(*this),
       nodes_(static_cast<std::size_t>(node_count_)) {
-  // Not as the controllers read them: what they get wrong must show.
-  settings_next_.state_write_rps = kNextWriteRps;
-  settings_next_.state_value_kb = kNextValueKb;
-  settings_next_.state_txn_ops = kNextTxnOps;
   address_of = [](const std::string& host) { return host; };
   to_node = [this](int node, Request request, net::Reply reply) {
     if (!nodes_[static_cast<std::size_t>(node)]) return reply({});
@@ -33,25 +48,27 @@
 
 World::~World() = default;
 
-void World::at(double time, std::function<void()> work) { queue_.push({time, order_++, std::move(work)}); }
-
 void World::run(double until) {
-  while (!queue_.empty() && queue_.top().time <= until) {
-    auto work = std::move(const_cast<Event&>(queue_.top()).work);
-    now_ = std::max(now_, queue_.top().time);
-    queue_.pop();
-    expire_holds();
+  while (const auto work = events_.take_due(until)) {
+    state_service_.expire_leases();
     work();
     ++steps_;
     check_step();
   }
-  now_ = until;
+  events_.set_now(until);
+}
+
+void World::write(const std::string& key, wire::Json data, bool checked) {
+  foreign_ = !checked;
+  state_service_.commit(
+      wire::Json{{"when", wire::Json::array()}, {"writes", {{{"write", key}, {"data", std::move(data)}}}}});
+  foreign_ = false;
 }
 
 void World::boot_node(int node) {
   auto& slot = nodes_[static_cast<std::size_t>(node)];
   if (slot) return;
-  slot = std::make_unique<Controller>(*this, node, random_());
+  slot = std::make_unique<Controller>(*this, node, random()());
   slot->node.start();
 }
 
@@ -79,33 +96,47 @@
 }
 
 void World::check_step() {
-  check_room_made();
-  check_replicas();
-  check_owners();
-  check_stranded();
-  if (steps_ % 16 == 0 && troubled()) step_troubled_at_ = now_;
-  // Invariant 2.
-  if (leaders() > 1) violate("two_leaders", std::to_string(leaders()) + " controllers may give orders");
-  if (steps_ % 512 == 0) check_records();
-  if (steps_ % 128 == 0) check_forgotten();
-  if (steps_ % 512 == 0) check_cutoffs();
-  if (steps_ % 64 == 0 && chance(0.05)) ask_unknown();
-  if (steps_ % 64 == 0 && chance(0.01)) wait_for_unknown();
-  for (const auto& [host, machine] : machines_) {
-    if (!machine.up || machine.dead) continue;
-    for (const auto& [member, task] : machine.tasks) {
-      const auto& job = jobs_.at(member.job.value);
-      if (job.told_cancelled > 0 && now_ > job.told_cancelled + settings_.cancel_s &&
-          machine.on(member, now_, settings_.lease_s))
-        violate("ran_cancelled", member.text() + " on " + host);
-    }
-  }
+  rules_.check_step(steps_);
+  if (steps_ % kUnknownSteps == 0 && chance(0.05)) ask_unknown();
+  if (steps_ % kUnknownSteps == 0 && chance(0.01)) wait_for_unknown();
+}
+
+const World::Controller* World::controller(int node) const {
+  return nodes_[static_cast<std::size_t>(node)].get();
+}
+
+bool World::recorded(const std::string& host) const {
+  for (auto key = keys().lower_bound(wire::kMachines);
+       key != keys().end() && key->first.starts_with(wire::kMachines); ++key)
+    if (key->second.data.is_object() &&
+        wire::parse_machine_group(key->first.substr(wire::kMachines.size()), key->second.data)
+            .hosts.contains(wire::HostId{host}))
+      return true;
+  return false;
+}
+
+std::uint32_t World::span(const wire::MemberId& member) const {
+  const auto job = jobs_.find(member.job.value);
+  if (job == jobs_.end() || job->second.spec.shape != wire::Shape::daemon) return 1;
+  const auto found = spans.find(job->second.spec.queue);
+  return found == spans.end() ? 1 : found->second;
+}
+
+bool World::whole(const std::string& uid, std::uint32_t replica) const {
+  const auto wide = span({wire::JobId{uid}, 0});
+  for (std::uint32_t i = replica * wide; i < (replica + 1) * wide; ++i)
+    if (std::none_of(machines().begin(), machines().end(), [&](const auto& entry) {
+          return entry.second.on({wire::JobId{uid}, i}, now(), settings_.lease_s);
+        }))
+      return false;
+  return true;
 }
 
-std::string listing(const std::vector<std::string>& broken) {
-  std::string text;
-  for (const auto& item : broken) text += item + "\n";
-  return text;
+std::uint32_t World::whole(const std::string& uid) const {
+  const wire::MemberId first{wire::JobId{uid}, 0};
+  std::uint32_t count = 0;
+  for (std::uint32_t i = 0; i < jobs_.at(uid).spec.members / span(first); ++i) count += whole(uid, i) ? 1 : 0;
+  return count;
 }
 
 }  // namespace bankhill::sim
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -1,6 +1,8 @@
 // Seeded random days: several controllers, random faults, every rule checked after each step.
 #include <gtest/gtest.h>
 
+#include "sim/jobs.hpp"
+#include "sim/scenario.hpp"
 #include "sim/world.hpp"
 
 namespace bankhill::sim {
@@ -71,35 +73,17 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomDay, testing::Range(1, 41));
 
 SimJob plain_job(const std::string& owner, std::uint32_t members, double cores, double run_s) {
-  SimJob job;
-  job.spec.queue = "any";
+  auto job = kept_batch(members, cores, run_s);
   job.spec.owner = owner;
-  job.spec.members = members;
-  job.spec.need = {cores, 0, 2};
-  job.spec.bundle = "img-1";
-  job.spec.size_gb = 1;
-  job.spec.guess_s = job.run_s = run_s;
+  job.kept = false;
   return job;
 }
 
-SimJob small_job(std::uint32_t members, double cores, double run_s) {
-  auto job = plain_job("red", members, cores, run_s);
-  job.spec.flavors = std::vector<std::string>{"small"};
-  job.kept = true;
-  return job;
-}
-
-bool caught(World& world, const std::string& rule) {
-  for (const auto& item : world.broken())
-    if (item.starts_with(rule)) return true;
-  return false;
-}
-
 // Workers stay with the controllers that they found; what each has is told to the leader, in bundles.
 TEST(Delegates, WorkersAreSpreadAndServedByAll) {
   World world(3);
   world.run(5);
-  world.submit(small_job(60, 1, 10));
+  world.submit(small_batch(60, 1, 10));
   std::set<int> nodes;
   for (double until = 20; until <= 120; until += 5) {
     world.run(until);
@@ -119,13 +103,13 @@
   world.crash(1, 0);
   world.run(5);
   world.spreading = true;
-  world.submit(small_job(60, 1, 10));
+  world.submit(small_batch(60, 1, 10));
   world.run(100);
   ASSERT_TRUE(world.broken().empty()) << listing(world.broken());
   EXPECT_TRUE(world.jobs().at("job-000000").told_done);
   const auto before = world.delegated();
   world.crash(1, 1);  // comes back with delegation
-  world.submit(small_job(200, 1, 20));
+  world.submit(small_batch(200, 1, 20));
   world.run(220);
   ASSERT_TRUE(world.broken().empty()) << listing(world.broken());
   EXPECT_GT(world.delegated(), before);
@@ -164,13 +148,13 @@
   for (const int seed : {3, 4, 5}) {
     World world(static_cast<std::uint64_t>(seed));
     world.run(5);
-    for (int i = 0; i < 6; ++i) world.submit(small_job(20, 1, 6));
+    for (int i = 0; i < 6; ++i) world.submit(small_batch(20, 1, 6));
     world.run(25);
     for (int round = 0; round < 6; ++round) {
       const auto leader = world.leader();
       const int delegate = (std::max(0, leader) + 1) % world.nodes();
       world.freeze(delegate, 3 + 4 * round);
-      world.submit(small_job(20, 1, 6));
+      world.submit(small_batch(20, 1, 6));
       world.run(world.now() + 12 + 4 * round);
       ASSERT_TRUE(world.broken().empty()) << listing(world.broken());
     }
@@ -191,17 +175,17 @@
     job.kept = true;
     jobs.push_back(world.submit(job));
   }
-  const auto before = world.puts_refused;
+  const auto before = world.state_service().writes_refused;
   world.run(40);
   ASSERT_TRUE(world.broken().empty()) << listing(world.broken());
   for (const auto& uid : jobs) EXPECT_TRUE(world.jobs().at(uid).accepted) << uid;
-  EXPECT_LT(world.puts_refused - before, 300U);
+  EXPECT_LT(world.state_service().writes_refused - before, 300U);
 }
 
 // The checker itself: each kind of broken rule must be seen.
 TEST(Checker, SeesATaskThatRunsTwice) {
   World world(7);
-  world.unchecked_records = true;
+  world.rules().unchecked_records = true;
   world.run(5);
   world.submit(plain_job("red", 8, 4, 300));
   world.run(60);
@@ -217,7 +201,7 @@
     world.force_start(running, i);
   }
   world.run(63);
-  EXPECT_TRUE(caught(world, "ran_twice"));
+  EXPECT_TRUE(broke_rule(world, "ran_twice"));
 }
 
 TEST(Checker, SeesATeamAboveItsLimitAndAWrongPlace) {
@@ -236,7 +220,7 @@
     for (std::uint32_t task = 0; task < 8; ++task) world.force_start({wire::JobId{"job-000001"}, task}, i);
   }
   world.run(63);
-  EXPECT_TRUE(caught(world, "wrong_place") || caught(world, "quota"));
+  EXPECT_TRUE(broke_rule(world, "wrong_place") || broke_rule(world, "quota"));
 }
 
 // Every report is overtaken by a direct answer and so brings no news. Its answer extends the worker's lease
@@ -260,7 +244,7 @@
 // room from the batches.
 TEST(Scenario, ServicesAreNotStoppedForAnothersGuarantee) {
   World world(33);
-  world.most_machines = 3;
+  world.cloud().machine_limit = 3;
   world.run(5);
   const auto large = [&](const std::string& owner, std::uint32_t members, double run_s) {
     auto job = plain_job(owner, members, 4, run_s);
@@ -292,7 +276,7 @@
   world.submit(job);
   world.run(40);
   ASSERT_EQ(world.starts(), 4U);
-  const int deaf = world.deaf_node = world.leader();
+  const int deaf = world.state_service().node_without_watches = world.leader();
   world.run(52);  // the watch that was open before has ended
   world.cancel("job-000000");
   world.run(130);
@@ -300,16 +284,16 @@
   EXPECT_EQ(world.leaders(), 1);
   EXPECT_GT(world.jobs().at("job-000000").told_cancelled, 0);
   EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
-  world.deaf_node = -1;
+  world.state_service().node_without_watches = -1;
 }
 
 // Invariant 11: a report that arrives late tells of tasks that are long over: taken for news, they would hold
 // their room on the machine for good.
 TEST(Scenario, ReportsThatArriveLateChangeNothing) {
   World world(15);
-  world.most_machines = 1;
+  world.cloud().machine_limit = 1;
   world.run(5);
-  world.submit(small_job(1, 4, 8));
+  world.submit(small_batch(1, 4, 8));
   while (world.now() < 60 && world.starts() == 0) world.run(world.now() + 0.1);
   world.run(world.now() + 1);
   const auto late = world.report_now(world.machines().begin()->first);
@@ -319,7 +303,7 @@
   ASSERT_TRUE(world.machines().begin()->second.tasks.empty());
   const double began = world.now();
   world.to_node(world.leader(), late, [](const net::Response&) {});
-  world.submit(small_job(1, 4, 8));
+  world.submit(small_batch(1, 4, 8));
   world.run(began + 20);
   EXPECT_TRUE(world.jobs().at("job-000001").told_done) << "its room was taken";
   EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
@@ -329,12 +313,12 @@
 TEST(Scenario, FaultyJobsTakeNoMachineOutOfUse) {
   World world(17);
   world.run(5);
-  world.submit(small_job(5, 3, 400));  // leaves a core free on each of five machines
+  world.submit(small_batch(5, 3, 400));  // leaves a core free on each of five machines
   world.run(50);
   ASSERT_EQ(world.starts(), 5U);
-  world.most_machines = 0;  // no others are to be had
+  world.cloud().machine_limit = 0;  // no others are to be had
   for (int i = 0; i < 3; ++i) {
-    auto job = small_job(12, 1, 5);
+    auto job = small_batch(12, 1, 5);
     job.broken = true;
     world.submit(std::move(job));
   }
@@ -342,7 +326,7 @@
   const auto tried = world.starts() - 5;
   EXPECT_GE(tried, 9U);
   EXPECT_LE(tried, 60U) << "faulty jobs go round and round";
-  world.submit(small_job(5, 1, 5));
+  world.submit(small_batch(5, 1, 5));
   world.run(130);
   EXPECT_TRUE(world.jobs().at("job-000004").told_done) << "the machines were taken out of use";
   EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
@@ -352,12 +336,12 @@
 TEST(Scenario, SickMachineIsFoundBesideFaultyJobs) {
   World world(19);
   world.run(5);
-  auto faulty = small_job(12, 1, 5);
+  auto faulty = small_batch(12, 1, 5);
   faulty.broken = true;
   world.submit(faulty);
   std::string sick;
   for (double time = 10; time <= 130; time += 5) {
-    world.submit(small_job(8, 2, 6));
+    world.submit(small_batch(8, 2, 6));
     world.run(time);
     for (auto& [host, machine] : world.machines())
       if (sick.empty() && time >= 40 && machine.up) {
@@ -397,7 +381,7 @@
 TEST_P(Controllers, ServeThroughTheLossOfTheLeader) {
   World world(23, GetParam());
   world.run(5);
-  for (int i = 0; i < 4; ++i) world.submit(small_job(6, 1, 20));
+  for (int i = 0; i < 4; ++i) world.submit(small_batch(6, 1, 20));
   world.run(30);
   ASSERT_EQ(world.leaders(), 1);
   world.crash(world.leader(), 3);
@@ -428,7 +412,7 @@
 // of its limit starts what comes new at once: what those machines may hold of it is known from its bound.
 TEST(Scenario, ANewReignKnowsWhatATeamMayUse) {
   World world(12);
-  world.most_machines = 16;
+  world.cloud().machine_limit = 16;
   world.run(5);
   auto service = plain_job("red", 12, 2, 1000);
   service.spec.shape = wire::Shape::daemon;
@@ -480,14 +464,14 @@
                                                             wire::ExitCause::none, world.now() + 100};
   world.force_start({wire::JobId{"job-000000"}, 0}, 0);
   world.run(62);
-  EXPECT_TRUE(caught(world, "overshoot")) << listing(world.broken());
+  EXPECT_TRUE(broke_rule(world, "overshoot")) << listing(world.broken());
 }
 
 // Services are spread, so that one machine's end takes few of them; where the fleet is one large machine all
 // of them are served all the same.
 TEST(Scenario, ServicesDoNotWaitForMachinesThatNobodyRents) {
   World world(31);
-  world.most_machines = 1;
+  world.cloud().machine_limit = 1;
   world.run(5);
   std::vector<std::string> services;
   for (int i = 0; i < 14; ++i) {
@@ -508,9 +492,9 @@
 TEST(Scenario, LeaderOnTheSmallerSideOfACutGivesWayAtOnce) {
   for (const std::uint64_t seed : {21, 22, 23, 24}) {
     World world(seed);
-    world.large_offered = false;
+    world.cloud().offers_large = false;
     world.run(5);
-    for (int i = 0; i < 6; ++i) world.submit(small_job(4, 2, 400));
+    for (int i = 0; i < 6; ++i) world.submit(small_batch(4, 2, 400));
     world.run(60);
     const int old = world.leader();
     ASSERT_GE(old, 0);
@@ -535,7 +519,7 @@
 TEST(Scenario, LeaderThatCannotReachTheWorkers) {
   World world(12);
   world.run(5);
-  for (int i = 0; i < 4; ++i) world.submit(small_job(4, 2, 200));
+  for (int i = 0; i < 4; ++i) world.submit(small_batch(4, 2, 200));
   world.run(45);
   std::vector<std::string> before;
   for (const auto& [host, machine] : world.machines())
@@ -562,7 +546,7 @@
 // ---- pipelines
 
 SimJob stage(std::vector<std::string> needs, double run_s = 3, std::uint32_t members = 2) {
-  auto job = small_job(members, 1, run_s);
+  auto job = small_batch(members, 1, run_s);
   for (auto& need : needs) job.spec.waits_on.push_back({std::move(need)});
   return job;
 }
@@ -577,7 +561,7 @@
 
 TEST(Checker, SeesATaskThatStartsTooEarly) {
   World world(9);
-  world.unchecked_records = true;
+  world.rules().unchecked_records = true;
   world.run(5);
   const auto first = world.submit(stage({}, 300));
   const auto second = world.submit(stage({first}));
@@ -585,7 +569,7 @@
   ASSERT_TRUE(world.broken().empty());
   world.force_start({wire::JobId{second}, 0}, 0);
   world.run(63);
-  EXPECT_TRUE(caught(world, "too_early"));
+  EXPECT_TRUE(broke_rule(world, "too_early"));
 }
 
 TEST(Checker, SeesAnOrphanedJob) {
@@ -598,10 +582,10 @@
   world.jobs().at(first).told_cancelled = world.now();
   world.jobs().at(first).cancel_asked = true;
   world.run(75);
-  EXPECT_FALSE(caught(world, "orphaned")) << "not before cancel_s";
+  EXPECT_FALSE(broke_rule(world, "orphaned")) << "not before cancel_s";
   world.run(100);
-  EXPECT_TRUE(caught(world, "orphaned"));
-  EXPECT_TRUE(caught(world, "went_back"));
+  EXPECT_TRUE(broke_rule(world, "orphaned"));
+  EXPECT_TRUE(broke_rule(world, "went_back"));
 }
 
 // A chain through a cancellation in its middle, its last job later than all, as its users see it.
@@ -706,7 +690,7 @@
   world.run(300);
   EXPECT_TRUE(world.jobs().at(last).told_done);
   EXPECT_FALSE(world.keys().contains(wire::waits_key({last}, 0))) << "is left";
-  EXPECT_EQ(world.too_large_refused, 0U);
+  EXPECT_EQ(world.state_service().transactions_refused, 0U);
   EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
 }
 
@@ -726,21 +710,22 @@
   const int blind = world.leader() == 0 ? 1 : 0;
   world.crash(blind, 0);  // whoever cancelled it, this one has it from the records alone
   world.run(63);
-  world.unread_node = blind;
+  world.state_service().node_without_reads = blind;
   for (int node = 0; node < world.nodes(); ++node)  // no sibling to ask
     world.cut("node-" + std::to_string(blind), "node-" + std::to_string(node), 20, false);
   world.run(world.now() + 6);
   const auto waiting = stage({cancelled}, 1);
   EXPECT_LT(world.ask(world.leader(), submission(waiting, "job-500001")).status, 300);
-  world.no_puts = true;  // its record does not follow meanwhile, whenever the leader's turn is
+  // Its record does not follow meanwhile, whenever the leader's turn is.
+  world.state_service().writes_exhausted = true;
   world.run(world.now() + 0.5);
   EXPECT_EQ(body_of(world.ask(world.leader(), poll("job-500001")))["phase"], "cancelled");
   ASSERT_EQ(world.keys().at(wire::job_key({"job-500001"})).data["phase"], "accepted") << "not yet written";
   const auto blindly = world.ask(blind, poll("job-500001"));
   EXPECT_EQ(blindly.status, 503) << blindly.body;
   ASSERT_EQ(world.keys().at(wire::job_key({"job-500001"})).data["phase"], "accepted") << "not yet written";
-  world.no_puts = false;
-  world.unread_node = -1;
+  world.state_service().writes_exhausted = false;
+  world.state_service().node_without_reads = -1;
   world.run(world.now() + 2);
   EXPECT_EQ(body_of(world.ask(blind, poll("job-500001")))["phase"], "cancelled");
 }
@@ -793,24 +778,13 @@
 
 // ---- the limits of the state service
 
-using Finished = std::set<std::pair<std::string, std::uint32_t>>;
-Finished stored_as_finished(const World& world) {
-  Finished tasks;
-  for (const auto& [key, entry] : world.keys())
-    if (key.starts_with(wire::kFinished))
-      for (const auto& [id, hex] :
-           wire::parse_finished_bucket(key.substr(wire::kFinished.size()), entry.data))
-        for (const auto index : wire::parse_finished_hex(hex, id.chunk)) tasks.emplace(id.job.value, index);
-  return tasks;
-}
-
 // Grows records of the size that the limits of before allow; says whether machines and finished tasks have
 // some.
 bool grow_old_records(World& world) {
   world.announced = false;
   world.address_of = [](const std::string& host) { return host + std::string(50, '.') + ":9000"; };
   for (int node = 0; node < world.nodes(); ++node) world.crash(node, 0);
-  world.most_machines = 110;
+  world.cloud().machine_limit = 110;
   world.run(5);
   for (int i = 0; i < 9; ++i) {
     // Each more urgent than the one before: all of them get a part of the machines.
@@ -873,7 +847,7 @@
   }
   world.tighten();
   live_on(world);
-  EXPECT_EQ(world.too_large_refused, 0U);
+  EXPECT_EQ(world.state_service().transactions_refused, 0U);
 }
 
 // Limits that nobody announced: what is refused is halved and made smaller, and holds up nothing.
@@ -882,8 +856,8 @@
   ASSERT_TRUE(grow_old_records(world));
   world.tighten();
   live_on(world);
-  EXPECT_GT(world.too_large_refused, 0U);
-  EXPECT_LT(world.too_large_refused, 60U);
+  EXPECT_GT(world.state_service().transactions_refused, 0U);
+  EXPECT_LT(world.state_service().transactions_refused, 60U);
 }
 
 }  // namespace
