--- a/src/app/node.hpp
+++ b/src/app/node.hpp
@@ -17,6 +17,7 @@
 
 namespace bankhill::app {
 
+// A whole controller; what surrounds it is given, so that it runs in a simulation too.
 class Node {
  public:
   // `client` asks the state service and the cloud, `workers` the workers.
--- a/src/app/settings.hpp
+++ b/src/app/settings.hpp
@@ -8,6 +8,7 @@
 #include <set>
 #include <stdexcept>
 #include <string>
+#include <system_error>
 #include <vector>
 
 #include "model/cancel_budget.hpp"
@@ -16,17 +17,56 @@
 
 namespace bankhill::app {
 
-// A missing or invalid field; what() names it.
+// Settings that cannot be used; what() tells why.
 struct BadSettings : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
+// One field of the platform's file; what() is "settings: field 'NAME' PROBLEM".
+class SettingsFieldError : public BadSettings {
+ public:
+  SettingsFieldError(std::string field, std::string problem);
+  const std::string& field() const noexcept { return field_; }
+  const std::string& problem() const noexcept { return problem_; }
+
+ private:
+  std::string field_;
+  std::string problem_;
+};
+
+// One key of the operators' file.
+class OperatorKeyError : public BadSettings {
+ public:
+  enum class Problem { unknown_key, out_of_range };
+  OperatorKeyError(std::string key, Problem problem);
+  const std::string& key() const noexcept { return key_; }
+  Problem problem() const noexcept { return problem_; }
+
+ private:
+  std::string key_;
+  Problem problem_;
+};
+
+// A file that cannot be read; what() is "cannot read PATH".
+class FileError : public BadSettings {
+ public:
+  FileError(std::string path, std::error_code reason);
+  const std::string& path() const noexcept { return path_; }
+  const std::error_code& reason() const noexcept { return reason_; }  // the system's
+
+ private:
+  std::string path_;
+  std::error_code reason_;
+};
+
+// A team with its share of the site.
 struct TeamSettings {
   std::string name;
   wire::Amounts guarantee;
   wire::Amounts limit;
 };
 
+// Another controller of the site.
 struct SiblingSettings {
   std::string host_name;
   std::string zone;
@@ -49,6 +89,7 @@
   bool spread_workers = true;    // workers report to all controllers, not to the leader alone
 };
 
+// All that a controller is started with.
 struct Settings {
   std::string host_name;
   std::string zone;
@@ -94,12 +135,15 @@
   model::CancelBudget cancel_budget() const;
 };
 
+// The platform's file. Throws BadSettings, as all functions below.
 Settings parse_settings(const std::string& json_text);
+// The operators' file without its section `tenants`.
 OperatorSettings parse_operator_settings(const std::string& yaml_text);
 // The operators' whole file, its section `tenants` checked against this site.
 void read_operator_settings(const std::string& yaml_text, Settings& settings);
 // A tenant whose policy takes more than can be stored; nothing if all can be.
 std::optional<std::string> too_large_tenant(const Settings& settings);
+// The content of a file as it is. Throws FileError.
 std::string read_file(const std::string& path);
 
 }  // namespace bankhill::app
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -49,21 +49,24 @@
                   {"count", message.rental.count}};
   client_.send(address_, {Method::post, "/machines", body.dump()}, kAnswerS,
                guard([this, done = std::move(message.done)](const Response& response) {
-                 Rented rented;
-                 const Json answer = Json::parse(response.body, nullptr, false);
-                 if (response.status == 200 && answer.is_object() && answer.contains("hosts")) {
-                   rented.kind = Rented::Kind::hosts;
-                   for (const auto& host : answer["hosts"]) rented.hosts.push_back({host.get<std::string>()});
-                 } else if (response.status == 503 && answer.is_object() &&
-                            answer.value("error", "") == "no capacity") {
-                   rented.kind = Rented::Kind::no_capacity;
-                 } else if (response.status == 400) {
-                   log_->error("cloud: rental refused as malformed: {}", response.body);
-                 }
-                 done(std::move(rented));
+                 done(read_rented(response));
                }));
 }
 
+Rented Cloud::read_rented(const Response& response) {
+  Rented rented;
+  const Json answer = Json::parse(response.body, nullptr, false);
+  if (response.status == 200 && answer.is_object() && answer.contains("hosts")) {
+    rented.kind = Rented::Kind::hosts;
+    for (const auto& host : answer["hosts"]) rented.hosts.push_back({host.get<std::string>()});
+  } else if (response.status == 503 && answer.is_object() && answer.value("error", "") == "no capacity") {
+    rented.kind = Rented::Kind::no_capacity;
+  } else if (response.status == 400) {
+    log_->error("cloud: rental refused as malformed: {}", response.body);
+  }
+  return rented;
+}
+
 void Cloud::on(Release& message) {
   if (!allowed(0)) return message.done(false);
   Json hosts = Json::array();
--- a/src/cloud/cloud.hpp
+++ b/src/cloud/cloud.hpp
@@ -41,6 +41,7 @@
   std::function<void(std::optional<std::vector<wire::ListedHost>>)> done;
 };
 
+// Sends requests to the cloud within its limit.
 class Cloud : public runtime::Actor<Cloud, GetCatalogue, Rent, Release, ListHosts> {
  public:
   Cloud(runtime::Loop& loop, net::Client& client, runtime::Log log, std::string address, double rps);
@@ -52,6 +53,7 @@
 
  private:
   bool allowed(double reserve);
+  Rented read_rented(const net::Response& response);
   void list_page(std::string after, std::vector<wire::ListedHost> so_far,
                  std::function<void(std::optional<std::vector<wire::ListedHost>>)> done);
 
--- a/src/election/elector.hpp
+++ b/src/election/elector.hpp
@@ -35,6 +35,7 @@
 struct RaiseTerm {};  // makes direct commands of the current term void
 struct Resign {};     // gives the leadership up, and leaves it to others for some time
 
+// Campaigns for this controller, renews its lease, and tells until when it may act.
 class Elector : public runtime::Actor<Elector, Changed, RaiseTerm, Resign> {
  public:
   Elector(runtime::Loop& loop, state::Store& store, runtime::Log log, std::string node,
--- a/src/policy/file.cpp
+++ b/src/policy/file.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <cmath>
 #include <functional>
+#include <utility>
 
 #include "policy/policy.hpp"
 
@@ -21,7 +22,7 @@
                                      wire::Rank::production};
 
 [[noreturn]] void fail(const Node& at, const std::string& what) {
-  throw BadPolicy("operator settings: line " + std::to_string(at.Mark().line + 1) + ": " + what);
+  throw PolicyLineError(at.Mark().line + 1, what);
 }
 
 std::string text(const Node& node, const std::string& what) {
@@ -196,9 +197,23 @@
     tenant.rules.push_back(std::move(rule));
   }
 
+  // A filing date and where it stands.
+  struct DatedFiling {
+    calendar::Filing filing;
+    Node node;
+  };
+
   void add_calendar(TenantPolicy& tenant, const Node& node) const {
+    std::vector<DatedFiling> dated;
+    auto rules = read_calendar(node, dated);
+    check_complete(rules, node);
+    check_dates(rules, dated, node);
+    check_overlap(tenant, rules, node);
+    tenant.calendars.push_back(std::move(rules));
+  }
+
+  calendar::Rules read_calendar(const Node& node, std::vector<DatedFiling>& dated) const {
     calendar::Rules rules;
-    std::map<std::size_t, Node> filings;
     members(
         node, "a calendar",
         {{"name", [&](const Node& item) { rules.name = text(item, "name"); }},
@@ -212,8 +227,8 @@
          {"dates",
           [&](const Node& items) {
             each(items, "dates", [&](const Node& item) {
-              filings.emplace(rules.dates.size(), item);
               rules.dates.push_back(filing(item, rules));
+              dated.push_back({rules.dates.back(), item});
             });
           }},
          {"days_off", [&](const Node& items) {
@@ -222,20 +237,30 @@
                 fail(item, "'" + item.Scalar() + "' stands twice");
             });
           }}});
+    return rules;
+  }
+
+  static void check_complete(const calendar::Rules& rules, const Node& node) {
     if (rules.name.empty()) fail(node, "a calendar has no name");
     if (rules.zone.empty()) fail(node, "calendar '" + rules.name + "' has no zone");
     if (rules.classes.empty()) fail(node, "calendar '" + rules.name + "' is for no class");
     if (rules.weekly.empty() && rules.dates.empty())
       fail(node, "calendar '" + rules.name + "' has no cutoff");
+  }
+
+  // A weekly time that one day of the year lacks is usual; one of a given date is a mistake.
+  static void check_dates(const calendar::Rules& rules, const std::vector<DatedFiling>& dated,
+                          const Node& node) {
     const auto zone = calendar::Zone::load(rules.zone);
     if (!zone) fail(node, "unknown time zone '" + rules.zone + "'");
-    // A weekly time that one day of the year lacks is usual; one of a given date is a mistake.
-    for (const auto& [index, item] : filings) {
-      const auto& given = rules.dates[index];
-      if (given.at_s && zone->skips(working_day(rules, given.on), *given.at_s))
-        fail(item, "there is no " + calendar::text_of_time(*given.at_s) + " in " + rules.zone +
+    for (const auto& [filing, item] : dated)
+      if (filing.at_s && zone->skips(working_day(rules, filing.on), *filing.at_s))
+        fail(item, "there is no " + calendar::text_of_time(*filing.at_s) + " in " + rules.zone +
                        " on that day: the clocks are put forward");
-    }
+  }
+
+  // Of one class at most one calendar, so that no two cutoffs compete.
+  static void check_overlap(const TenantPolicy& tenant, const calendar::Rules& rules, const Node& node) {
     for (const auto& other : tenant.calendars) {
       if (other.name == rules.name) fail(node, "calendar '" + rules.name + "' stands twice");
       for (const auto& name : rules.classes)
@@ -243,7 +268,6 @@
           fail(node, "calendars '" + other.name + "' and '" + rules.name + "' overlap: both are for '" +
                          name + "'");
     }
-    tenant.calendars.push_back(std::move(rules));
   }
 
   static calendar::Weekly weekly(const Node& node, const calendar::Rules& rules) {
@@ -296,6 +320,11 @@
 };
 }  // namespace
 
+PolicyLineError::PolicyLineError(int line, std::string problem)
+    : BadPolicy("operator settings: line " + std::to_string(line) + ": " + problem),
+      line_(line),
+      problem_(std::move(problem)) {}
+
 std::optional<Policy> parse_policy(const std::string& yaml_text, const Site& site) {
   try {
     const Node root = YAML::Load(yaml_text);
--- a/src/policy/follower.hpp
+++ b/src/policy/follower.hpp
@@ -21,6 +21,7 @@
   state::Changes changes;
 };
 
+// Holds the policy in force, and writes this controller's file where it is newer.
 class Follower : public runtime::Actor<Follower, Changed> {
  public:
   // `file`: what this controller was started with; `again_s`: until what could not be written is tried again.
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -7,6 +7,7 @@
 namespace bankhill::policy {
 
 using calendar::Rules;
+using wire::FieldError;
 using wire::Json;
 using wire::Malformed;
 
@@ -17,10 +18,9 @@
 std::set<std::string> names_field(const Json& object, const char* name) {
   std::set<std::string> names;
   if (wire::absent(object, name)) return names;
-  if (!object[name].is_array()) throw Malformed(std::string("field '") + name + "' is not a list");
+  if (!object[name].is_array()) throw FieldError(name, "is not a list");
   for (const auto& item : object[name]) {
-    if (!item.is_string())
-      throw Malformed(std::string("field '") + name + "' holds something other than names");
+    if (!item.is_string()) throw FieldError(name, "holds something other than names");
     names.insert(item.get<std::string>());
   }
   return names;
@@ -29,7 +29,7 @@
 const Json& list_field(const Json& object, const char* name) {
   static const Json none = Json::array();
   if (wire::absent(object, name)) return none;
-  if (!object[name].is_array()) throw Malformed(std::string("field '") + name + "' is not a list");
+  if (!object[name].is_array()) throw FieldError(name, "is not a list");
   return object[name];
 }
 
@@ -41,8 +41,7 @@
 
 int time_field(const Json& object, const char* name) {
   const auto seconds = wire::count_field(object, name);
-  if (seconds > static_cast<std::uint64_t>(calendar::kDayS))
-    throw Malformed(std::string("field '") + name + "' is not a time");
+  if (seconds > static_cast<std::uint64_t>(calendar::kDayS)) throw FieldError(name, "is not a time");
   return static_cast<int>(seconds);
 }
 
@@ -98,12 +97,12 @@
   rule.classes = names_field(object, "classes");
   const auto tier = object.find("tier");
   if (tier == object.end() || !tier->is_number_integer() || *tier < kLowestTier || *tier > kHighestTier)
-    throw Malformed("field 'tier' is none");
+    throw FieldError("tier", "is none");
   rule.tier = tier->get<int>();
   if (!wire::absent(object, "guest")) rule.guest = wire::flag_field(object, "guest");
   if (!wire::absent(object, "rank")) {
     const auto rank = wire::count_field(object, "rank");
-    if (rank >= kRanks) throw Malformed("field 'rank' is none");
+    if (rank >= kRanks) throw FieldError("rank", "is none");
     rule.rank = static_cast<wire::Rank>(rank);
   }
   return rule;
@@ -148,7 +147,7 @@
   if (!wire::absent(object, "tier_floor")) tenant.tier_floor = wire::amount_field(object, "tier_floor");
   if (!wire::absent(object, "tier_ages_s")) tenant.tier_ages_s = wire::amount_field(object, "tier_ages_s");
   if (!wire::absent(object, "spans")) {
-    if (!object["spans"].is_object()) throw Malformed("field 'spans' is not an object");
+    if (!object["spans"].is_object()) throw FieldError("spans", "is not an object");
     for (const auto& [queue, span] : object["spans"].items()) {
       if (!span.is_number_unsigned() || span.get<std::uint64_t>() < 1 ||
           span.get<std::uint64_t>() > wire::kMaxMembers)
--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -19,6 +19,7 @@
 constexpr int kLowestTier = -9;
 constexpr int kHighestTier = 9;
 
+// A rule that gives some of a tenant's jobs a tier.
 struct TierRule {
   std::set<std::string> classes;   // empty: any
   std::optional<wire::Rank> rank;  // none: any
@@ -28,6 +29,7 @@
   bool operator==(const TierRule&) const = default;
 };
 
+// All that operators set for one tenant.
 struct TenantPolicy {
   std::vector<calendar::Rules> calendars;      // of one class at most one
   std::vector<TierRule> rules;                 // the first that matches decides; none: tier 0
@@ -40,6 +42,7 @@
 wire::Json to_json(const TenantPolicy& tenant);
 TenantPolicy parse_tenant(const wire::Json& object);  // throws wire::Malformed
 
+// The policies of all tenants under one version, and the decisions that follow from them.
 class Policy {
  public:
   Policy() = default;
@@ -85,7 +88,20 @@
   using std::runtime_error::runtime_error;
 };
 
+// One line of the file is at fault; what() is "operator settings: line LINE: PROBLEM".
+class PolicyLineError : public BadPolicy {
+ public:
+  PolicyLineError(int line, std::string problem);
+  int line() const noexcept { return line_; }  // from 1 on
+  const std::string& problem() const noexcept { return problem_; }
+
+ private:
+  int line_;
+  std::string problem_;
+};
+
 // The section `tenants` of the operators' YAML, as text of the whole file. Nothing: it has no such section.
+// Throws BadPolicy.
 std::optional<Policy> parse_policy(const std::string& yaml_text, const Site& site);
 
 }  // namespace bankhill::policy
--- a/src/wire/frames.cpp
+++ b/src/wire/frames.cpp
@@ -192,61 +192,91 @@
   return rulings;
 }
 
+// The type in a frame's header: its place in the variant.
+enum class FrameType : std::uint8_t { hello, beat, call, answer, progress, load, reports, rulings };
+static_assert(std::variant_size_v<Frame> == static_cast<std::size_t>(FrameType::rulings) + 1);
+
+std::optional<Frame> read_hello(Cursor& cursor) {
+  HelloBody body;
+  Hello hello;
+  if (!cursor.read(body) || !cursor.read(hello.node, body.name_length)) return std::nullopt;
+  hello.incarnation = body.incarnation;
+  return hello;
+}
+
+std::optional<Frame> read_beat(Cursor& cursor) {
+  BeatBody body;
+  if (!cursor.read(body)) return std::nullopt;
+  return Beat{body.term, body.state_ok != 0, body.leading != 0,
+              static_cast<std::uint8_t>(body.state_ok >> 1U)};
+}
+
+std::optional<Frame> read_call(Cursor& cursor) {
+  CallBody body;
+  Call call;
+  if (!cursor.read(body) || !cursor.read(call.path, body.path_length) ||
+      !cursor.read(call.body, body.body_length))
+    return std::nullopt;
+  call.id = body.id;
+  call.post = body.post != 0;
+  return call;
+}
+
+std::optional<Frame> read_answer(Cursor& cursor) {
+  AnswerBody body;
+  Answer answer;
+  if (!cursor.read(body) || !cursor.read(answer.body, body.body_length)) return std::nullopt;
+  answer.id = body.id;
+  answer.status = body.status;
+  answer.retry_after_ms = body.retry_after_ms;
+  return answer;
+}
+
+std::optional<Frame> read_progress(Cursor& cursor) {
+  ProgressBody body;
+  Progress progress;
+  if (!cursor.read(body) || !cursor.read(progress.job, body.job_length) ||
+      !cursor.read(progress.reason, body.reason_length))
+    return std::nullopt;
+  progress.done = body.done;
+  progress.running = body.running;
+  return progress;
+}
+
+std::optional<Frame> read_load(Cursor& cursor) {
+  LoadBody body;
+  Load load;
+  if (!cursor.read(body) || !cursor.read(load.zone, body.zone_length)) return std::nullopt;
+  load.workers = body.workers;
+  load.capacity = body.capacity;
+  return load;
+}
+
+std::optional<Frame> read_body(std::uint8_t type, Cursor& cursor) {
+  switch (static_cast<FrameType>(type)) {
+    case FrameType::hello:
+      return read_hello(cursor);
+    case FrameType::beat:
+      return read_beat(cursor);
+    case FrameType::call:
+      return read_call(cursor);
+    case FrameType::answer:
+      return read_answer(cursor);
+    case FrameType::progress:
+      return read_progress(cursor);
+    case FrameType::load:
+      return read_load(cursor);
+    case FrameType::reports:
+      return read_reports(cursor);
+    case FrameType::rulings:
+      return read_rulings(cursor);
+  }
+  return std::nullopt;
+}
+
 std::optional<Frame> decode(std::uint8_t type, std::string_view payload) {
   Cursor cursor(payload);
-  std::optional<Frame> frame;
-  if (type == 0) {
-    HelloBody body;
-    Hello hello;
-    if (cursor.read(body) && cursor.read(hello.node, body.name_length)) {
-      hello.incarnation = body.incarnation;
-      frame = std::move(hello);
-    }
-  } else if (type == 1) {
-    BeatBody body;
-    if (cursor.read(body))
-      frame = Beat{body.term, body.state_ok != 0, body.leading != 0,
-                   static_cast<std::uint8_t>(body.state_ok >> 1U)};
-  } else if (type == 2) {
-    CallBody body;
-    Call call;
-    if (cursor.read(body) && cursor.read(call.path, body.path_length) &&
-        cursor.read(call.body, body.body_length)) {
-      call.id = body.id;
-      call.post = body.post != 0;
-      frame = std::move(call);
-    }
-  } else if (type == 3) {
-    AnswerBody body;
-    Answer answer;
-    if (cursor.read(body) && cursor.read(answer.body, body.body_length)) {
-      answer.id = body.id;
-      answer.status = body.status;
-      answer.retry_after_ms = body.retry_after_ms;
-      frame = std::move(answer);
-    }
-  } else if (type == 4) {
-    ProgressBody body;
-    Progress progress;
-    if (cursor.read(body) && cursor.read(progress.job, body.job_length) &&
-        cursor.read(progress.reason, body.reason_length)) {
-      progress.done = body.done;
-      progress.running = body.running;
-      frame = std::move(progress);
-    }
-  } else if (type == 5) {
-    LoadBody body;
-    Load load;
-    if (cursor.read(body) && cursor.read(load.zone, body.zone_length)) {
-      load.workers = body.workers;
-      load.capacity = body.capacity;
-      frame = std::move(load);
-    }
-  } else if (type == 6) {
-    frame = read_reports(cursor);
-  } else if (type == 7) {
-    frame = read_rulings(cursor);
-  }
+  auto frame = read_body(type, cursor);
   if (!cursor.at_end()) return std::nullopt;
   return frame;
 }
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -50,12 +50,10 @@
 E value_in(const NameTable<E, N>& table, const std::string& name, const char* field) {
   for (const auto& [entry, text] : table)
     if (name == text) return entry;
-  throw Malformed(std::string("field '") + field + "' is not one of its values");
+  throw FieldError(field, "is not one of its values");
 }
 
-[[noreturn]] void bad(const char* name, const char* what) {
-  throw Malformed(std::string("field '") + name + "' " + what);
-}
+[[noreturn]] void bad(const char* name, const char* what) { throw FieldError(name, what); }
 
 const Json& field(const Json& object, const char* name) {
   const auto found = object.find(name);
@@ -110,6 +108,9 @@
 
 }  // namespace
 
+FieldError::FieldError(std::string field, std::string problem)
+    : Malformed("field '" + field + "' " + problem), field_(std::move(field)), problem_(std::move(problem)) {}
+
 Json parse_object(const std::string& text) {
   Json value = Json::parse(text, nullptr, false);
   if (value.is_discarded()) throw Malformed("body is not JSON");
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -16,21 +16,34 @@
 constexpr std::size_t kMaxBody = 64 * 1024;
 constexpr std::uint32_t kMaxMembers = 100'000;
 
-// A message that breaks the protocol; what() names the field.
+// A message that breaks the protocol; what() tells how.
 struct Malformed : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
+// One field of a message breaks the protocol; what() is "field 'NAME' PROBLEM".
+class FieldError : public Malformed {
+ public:
+  FieldError(std::string field, std::string problem);
+  const std::string& field() const noexcept { return field_; }
+  const std::string& problem() const noexcept { return problem_; }
+
+ private:
+  std::string field_;
+  std::string problem_;
+};
+
 // Parses text that must be a JSON object.
 Json parse_object(const std::string& text);
 
-// Checked field access: throws Malformed naming the field.
+// Checked field access: throws FieldError.
 std::string text_field(const Json& object, const char* name);
 double amount_field(const Json& object, const char* name);  // finite and not negative
 std::uint64_t count_field(const Json& object, const char* name);
 bool flag_field(const Json& object, const char* name);
 bool absent(const Json& object, const char* name);  // missing or null
 
+// Of a task what it needs, of a machine what it has, of a team what it may use.
 struct Amounts {
   double cores = 0;
   double accelerators = 0;
@@ -44,6 +57,7 @@
 enum class Shape { sweep, daemon };
 enum class Rank { best_effort, normal, high, production };  // rising
 
+// A job as its user describes it.
 struct JobSpec {
   JobId uid;
   std::string queue;
@@ -66,9 +80,11 @@
   std::vector<JobId> waits_on;  // must be done before any task starts; each named once
 };
 
+// Throws Malformed, as all parse functions here.
 JobSpec parse_job(const Json& object);
 Json to_json(const JobSpec& spec);
 
+// A machine type that the cloud offers.
 struct Flavor {
   std::string name;
   Amounts size;
@@ -86,6 +102,7 @@
 enum class MemberPhase { pulling, running, flushing, exited };
 enum class ExitCause { none, done, halted, error, no_room, busy, no_such };
 
+// What a worker tells about one attempt of a task.
 struct MemberReport {
   MemberId member;
   TryNo try_no;
@@ -95,6 +112,7 @@
   bool operator==(const MemberReport&) const = default;
 };
 
+// What a worker tells at each report interval: itself and all that it runs.
 struct Report {
   HostId host;
   std::string address;
@@ -114,6 +132,7 @@
 
 enum class Verb { start, stop, forget };
 
+// What a worker is to do with one attempt of a task.
 struct Order {
   Verb verb = Verb::start;
   MemberId member;
@@ -125,6 +144,7 @@
 Json to_json(const std::vector<Order>& orders);
 std::vector<Order> parse_orders(const Json& array);
 
+// A rented machine, as the cloud lists it.
 struct ListedHost {
   HostId uid;
   std::string address;
@@ -135,6 +155,7 @@
   double held_s = 0;
 };
 
+// One page of the cloud's list.
 struct HostPage {
   std::vector<ListedHost> hosts;
   bool has_next = false;
@@ -142,6 +163,7 @@
 
 HostPage parse_host_page(const Json& object);
 
+// The names of these values in messages.
 const char* name_of(Shape shape);
 const char* name_of(Rank rank);
 const char* name_of(ExitCause cause);
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -149,7 +149,7 @@
   const auto phase = text_field(object, "phase");
   if (phase == "done") return JobPhase::done;
   if (phase == "cancelled") return JobPhase::cancelled;
-  if (phase != "accepted") throw Malformed("field 'phase' is not one of its values");
+  if (phase != "accepted") throw FieldError("phase", "is not one of its values");
   return JobPhase::accepted;
 }
 }  // namespace
@@ -225,9 +225,9 @@
     return record;
   }
   const auto hosts = object.find("hosts");
-  if (hosts == object.end() || !hosts->is_object()) throw Malformed("field 'hosts' is not an object");
+  if (hosts == object.end() || !hosts->is_object()) throw FieldError("hosts", "is not an object");
   for (const auto& [host, address] : hosts->items()) {
-    if (!address.is_string()) throw Malformed("field 'hosts' holds something other than addresses");
+    if (!address.is_string()) throw FieldError("hosts", "holds something other than addresses");
     record.hosts.emplace(HostId{host}, address.get<std::string>());
   }
   return record;
--- a/src/wire/records.hpp
+++ b/src/wire/records.hpp
@@ -45,9 +45,11 @@
 // What a value takes at the most: escaped, with a space after each separator.
 std::size_t stored_bytes(const Json& data);
 
+// The life of a job: accepted, then for good done or cancelled.
 enum class JobPhase { accepted, done, cancelled };
 const char* name_of(JobPhase phase);
 
+// What is stored of a job.
 struct JobRecord {
   JobSpec spec;
   JobPhase phase = JobPhase::accepted;
@@ -81,6 +83,7 @@
 // are there. Version 0.2.0 keeps what stands under its own key then.
 KeyedValues stored_catalogue(const std::vector<Flavor>& flavors, std::size_t value_bytes,
                              std::uint64_t generation);
+// Puts the catalogue together from its one key or its parts.
 class CatalogueReader {
  public:
   // Takes a change of any key; the catalogue when this one makes it new and whole.
@@ -90,6 +93,7 @@
   std::map<std::string, Json> parts_;
 };
 
+// Who leads: stored on the lease `hold`, and gone with it.
 struct LeaderRecord {
   std::string node;
   std::uint64_t incarnation = 0;
