--- a/src/net/evhttp_client.cpp
+++ b/src/net/evhttp_client.cpp
@@ -5,6 +5,7 @@
 
 #include <algorithm>
 #include <charconv>
+#include <cstdlib>
 #include <utility>
 
 namespace bankhill::net {
@@ -14,11 +15,56 @@
 constexpr double kIdleLimitS = 30;
 constexpr std::size_t kIdlePerAddress = 8;
 
+struct RequestDeleter {
+  void operator()(evhttp_request* request) const { evhttp_request_free(request); }
+};
+// A request until it is handed over to evhttp, which frees it from then on.
+using OwnedRequest = std::unique_ptr<evhttp_request, RequestDeleter>;
+
 std::string read_all(evbuffer* buffer) {
   std::string bytes(evbuffer_get_length(buffer), '\0');
   if (!bytes.empty()) evbuffer_copyout(buffer, bytes.data(), bytes.size());
   return bytes;
 }
+
+struct ReadResponse {
+  Response response;      // status 0: none came
+  bool reusable = false;  // its connection may serve further requests
+};
+
+ReadResponse read_response(evhttp_request* answer) {
+  ReadResponse result;
+  if (answer == nullptr || evhttp_request_get_response_code(answer) == 0) return result;
+  result.response.status = evhttp_request_get_response_code(answer);
+  result.response.body = read_all(evhttp_request_get_input_buffer(answer));
+  const auto* headers = evhttp_request_get_input_headers(answer);
+  if (const char* after = evhttp_find_header(headers, "Retry-After"))
+    result.response.retry_after_s = std::strtod(after, nullptr);
+  const char* connection = evhttp_find_header(headers, "Connection");
+  result.reusable = connection == nullptr || evutil_ascii_strcasecmp(connection, "close") != 0;
+  return result;
+}
+
+void fill(evhttp_request* raw, const std::string& address, const Request& request) {
+  auto* headers = evhttp_request_get_output_headers(raw);
+  evhttp_add_header(headers, "Host", address.c_str());
+  if (request.method != Method::post) return;
+  evhttp_add_header(headers, "Content-Type", "application/json");
+  evbuffer_add(evhttp_request_get_output_buffer(raw), request.body.data(), request.body.size());
+}
+
+evhttp_cmd_type command_of(Method method) {
+  switch (method) {
+    case Method::post:
+      return EVHTTP_REQ_POST;
+    case Method::del:
+      return EVHTTP_REQ_DELETE;
+    case Method::get:
+    case Method::other:
+      return EVHTTP_REQ_GET;
+  }
+  return EVHTTP_REQ_GET;
+}
 }  // namespace
 
 struct EvhttpClient::Exchange {
@@ -105,35 +151,17 @@
   if (!exchange->connection) return loop_.post([this, id] { finish(id, Response{}, false); });
   ++in_use_;
   if (idle_order_.size() + in_use_ > open_limit_) trim_idle(open_limit_ - in_use_);
-  evhttp_request* raw = evhttp_request_new(
+  OwnedRequest raw(evhttp_request_new(
       [](evhttp_request* answer, void* context) {
         auto* done = static_cast<Exchange*>(context);
-        Response response;
-        bool reusable = false;
-        if (answer != nullptr && evhttp_request_get_response_code(answer) != 0) {
-          response.status = evhttp_request_get_response_code(answer);
-          response.body = read_all(evhttp_request_get_input_buffer(answer));
-          const auto* headers = evhttp_request_get_input_headers(answer);
-          if (const char* after = evhttp_find_header(headers, "Retry-After"))
-            response.retry_after_s = std::strtod(after, nullptr);
-          const char* connection = evhttp_find_header(headers, "Connection");
-          reusable = connection == nullptr || evutil_ascii_strcasecmp(connection, "close") != 0;
-        }
+        auto [response, reusable] = read_response(answer);
         done->client->finish(done->id, std::move(response), reusable);
       },
-      exchange);
-  auto* headers = evhttp_request_get_output_headers(raw);
-  evhttp_add_header(headers, "Host", address.c_str());
-  if (request.method == Method::post) {
-    evhttp_add_header(headers, "Content-Type", "application/json");
-    evbuffer_add(evhttp_request_get_output_buffer(raw), request.body.data(), request.body.size());
-  }
-  const auto command = request.method == Method::post  ? EVHTTP_REQ_POST
-                       : request.method == Method::del ? EVHTTP_REQ_DELETE
-                                                       : EVHTTP_REQ_GET;
-  auto* connection = exchange->connection.get();
+      exchange));
+  fill(raw.get(), address, request);
   // On failure evhttp has freed the request without calling back.
-  if (evhttp_make_request(connection, raw, command, request.path.c_str()) != 0)
+  if (evhttp_make_request(exchange->connection.get(), raw.release(), command_of(request.method),
+                          request.path.c_str()) != 0)
     loop_.post([this, id] { finish(id, Response{}, false); });
 }
 
--- a/src/net/evhttp_client.hpp
+++ b/src/net/evhttp_client.hpp
@@ -14,6 +14,7 @@
 
 namespace bankhill::net {
 
+// The client of the program itself.
 class EvhttpClient final : public Client {
  public:
   // At most `open_limit` connections are open; requests beyond it wait for one, within their time. At most
--- a/src/net/evhttp_server.cpp
+++ b/src/net/evhttp_server.cpp
@@ -4,17 +4,19 @@
 #include <event2/keyvalq_struct.h>
 #include <fmt/format.h>
 
+#include <cerrno>
 #include <charconv>
 #include <cmath>
-#include <stdexcept>
 #include <utility>
 
+#include "net/errors.hpp"
 #include "wire/messages.hpp"
 
 namespace bankhill::net {
 
 namespace {
 
+constexpr unsigned kMaxPort = 65535;
 constexpr std::size_t kMaxHeaders = 16 * 1024;
 // A body somewhat above the limit is read and answered 413: closed in the middle, its sender often sees a
 // reset instead of the answer. Beyond this the connection is closed.
@@ -68,14 +70,7 @@
       shares_{Share{"workers", shares.workers}, Share{"users", shares.users}},
       handler_(std::move(handler)),
       server_(evhttp_new(loop.base())) {
-  const auto colon = address.rfind(':');
-  unsigned port = 0;
-  if (colon != std::string::npos)
-    std::from_chars(address.data() + colon + 1, address.data() + address.size(), port);
-  if (!server_ || port == 0 || port > 65535 ||
-      evhttp_bind_socket(server_.get(), address.substr(0, colon).c_str(), static_cast<ev_uint16_t>(port)) !=
-          0)
-    throw std::runtime_error("cannot listen on " + address);
+  listen_on(address);
   evhttp_set_max_body_size(server_.get(), static_cast<ev_ssize_t>(kBodyRead * wire::kMaxBody));
   evhttp_set_max_headers_size(server_.get(), static_cast<ev_ssize_t>(kMaxHeaders));
   evhttp_set_timeout(server_.get(), static_cast<int>(std::ceil(idle_timeout_s)));
@@ -87,6 +82,18 @@
       [](evhttp_request* request, void* self) { static_cast<EvhttpServer*>(self)->handle(request); }, this);
 }
 
+void EvhttpServer::listen_on(const std::string& address) {
+  const auto colon = address.rfind(':');
+  unsigned port = 0;
+  if (colon != std::string::npos)
+    std::from_chars(address.data() + colon + 1, address.data() + address.size(), port);
+  errno = 0;
+  if (!server_ || port == 0 || port > kMaxPort ||
+      evhttp_bind_socket(server_.get(), address.substr(0, colon).c_str(), static_cast<ev_uint16_t>(port)) !=
+          0)
+    throw ListenError(address, last_system_error());
+}
+
 void EvhttpServer::handle(evhttp_request* raw) {
   auto pending = std::make_shared<Pending>(raw);
   Request request;
--- a/src/net/evhttp_server.hpp
+++ b/src/net/evhttp_server.hpp
@@ -21,9 +21,10 @@
   std::size_t users = 1;
 };
 
+// Serves users and workers on one address; each request is answered once, later if need be.
 class EvhttpServer {
  public:
-  // Throws std::runtime_error when the address cannot be bound.
+  // Throws ListenError when the address cannot be bound.
   EvhttpServer(runtime::EventLoop& loop, runtime::Log log, const std::string& address, double idle_timeout_s,
                SocketShares shares, Handler handler);
   std::size_t worker_connections() const { return shares_[worker].open; }
@@ -44,6 +45,7 @@
   struct ServerDeleter {
     void operator()(evhttp* server) const { evhttp_free(server); }
   };
+  void listen_on(const std::string& address);
   void handle(evhttp_request* request);
 
   runtime::Log log_;
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -9,6 +9,7 @@
 
 namespace bankhill::net {
 
+// What a handler tells apart.
 enum class Method { get, post, del, other };
 
 struct Request {
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -3,28 +3,22 @@
 #include <event2/buffer.h>
 
 #include <array>
-#include <cstring>
-#include <stdexcept>
+#include <cerrno>
 #include <utility>
 
+#include "net/errors.hpp"
+
 namespace bankhill::net {
 
 namespace {
 // What may wait for a slow sibling; beyond it frames are dropped rather than stored.
 constexpr std::size_t kMaxQueued = 4 * wire::kMaxFrame;
 
-timeval seconds(double value) {
-  timeval time{};
-  time.tv_sec = static_cast<time_t>(value);
-  time.tv_usec = static_cast<suseconds_t>((value - static_cast<double>(time.tv_sec)) * 1e6);
-  return time;
-}
-
 sockaddr_storage parse_address(const std::string& address, int& length) {
   sockaddr_storage storage{};
   length = sizeof storage;
   if (evutil_parse_sockaddr_port(address.c_str(), reinterpret_cast<sockaddr*>(&storage), &length) != 0)
-    throw std::runtime_error("not an address: " + address);
+    throw AddressError(address);
   return storage;
 }
 }  // namespace
@@ -36,16 +30,7 @@
       self_(std::move(self)),
       incarnation_(incarnation),
       silence_s_(silence_s) {
-  int length = 0;
-  const auto address = parse_address(listen_address, length);
-  listener_.reset(evconnlistener_new_bind(
-      loop_.base(),
-      [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* link) {
-        static_cast<PeerLink*>(link)->accept(socket);
-      },
-      this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, -1, reinterpret_cast<const sockaddr*>(&address),
-      length));
-  if (!listener_) throw std::runtime_error("cannot listen on " + listen_address);
+  listen_on(listen_address);
   for (auto& sibling : siblings) {
     auto dialled = std::make_unique<Dialled>();
     dialled->link = this;
@@ -57,6 +42,20 @@
 
 PeerLink::~PeerLink() = default;
 
+void PeerLink::listen_on(const std::string& address) {
+  int length = 0;
+  const auto parsed = parse_address(address, length);
+  errno = 0;
+  listener_.reset(evconnlistener_new_bind(
+      loop_.base(),
+      [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* link) {
+        static_cast<PeerLink*>(link)->accept(socket);
+      },
+      this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, -1, reinterpret_cast<const sockaddr*>(&parsed),
+      length));
+  if (!listener_) throw ListenError(address, last_system_error());
+}
+
 void PeerLink::listen(std::function<void(const std::string&, wire::Frame)> receiver) {
   receiver_ = std::move(receiver);
 }
@@ -70,21 +69,13 @@
   bufferevent_setcb(
       dialled.buffer.get(),
       [](bufferevent* buffer, void*) { evbuffer_drain(bufferevent_get_input(buffer), SIZE_MAX); }, nullptr,
-      [](bufferevent*, short what, void* context) {
-        auto& self = *static_cast<Dialled*>(context);
-        if ((what & BEV_EVENT_CONNECTED) != 0) {
-          self.connected = true;
-          self.since = self.link->loop_.now();
-          self.link->send(self.sibling.node, wire::Hello{self.link->incarnation_, self.link->self_});
-          self.link->log_->debug("peer {}: connected", self.sibling.node);
-        } else {
-          if (self.connected) self.link->log_->info("peer {}: connection lost", self.sibling.node);
-          self.link->redial_later(self);
-        }
+      [](bufferevent*, short events, void* context) {
+        auto& changed = *static_cast<Dialled*>(context);
+        changed.link->connection_changed(changed, events);
       },
       &dialled);
   // Connecting or a blocked write for this long means the sibling is silent.
-  const timeval limit = seconds(silence_s_);
+  const timeval limit = runtime::to_timeval(silence_s_);
   bufferevent_set_timeouts(dialled.buffer.get(), nullptr, &limit);
   bufferevent_enable(dialled.buffer.get(), EV_READ | EV_WRITE);
   int length = 0;
@@ -94,6 +85,18 @@
     redial_later(dialled);
 }
 
+void PeerLink::connection_changed(Dialled& dialled, short events) {
+  const auto& peer_name = dialled.sibling.node;
+  if ((events & BEV_EVENT_CONNECTED) == 0) {
+    if (dialled.connected) log_->info("peer {}: connection lost", peer_name);
+    return redial_later(dialled);
+  }
+  dialled.connected = true;
+  dialled.since = loop_.now();
+  send(peer_name, wire::Hello{incarnation_, self_});
+  log_->debug("peer {}: connected", peer_name);
+}
+
 void PeerLink::redial_later(Dialled& dialled) {
   dialled.connected = false;
   dialled.retry = loop_.after(silence_s_ / 4, [this, &dialled] { dial(dialled); });
@@ -145,7 +148,7 @@
         self.link->drop(self);
       },
       accepted.get());
-  const timeval limit = seconds(silence_s_ * 4);
+  const timeval limit = runtime::to_timeval(silence_s_ * 4);
   bufferevent_set_timeouts(accepted->buffer.get(), &limit, nullptr);
   bufferevent_enable(accepted->buffer.get(), EV_READ | EV_WRITE);
   auto* key = accepted.get();
--- a/src/net/peer_link.hpp
+++ b/src/net/peer_link.hpp
@@ -15,14 +15,17 @@
 
 namespace bankhill::net {
 
+// Another controller and where it listens for frames.
 struct Sibling {
   std::string node;
   std::string address;
 };
 
+// The connections to and from all other controllers.
 class PeerLink final : public PeerPort {
  public:
-  // `silence_s`: a connection without any frame for this long is dialled anew.
+  // `silence_s`: a connection without any frame for this long is dialled anew. Throws AddressError for an
+  // address that is none, ListenError when this controller's own cannot be bound.
   PeerLink(runtime::EventLoop& loop, runtime::Log log, std::string self, std::uint64_t incarnation,
            const std::string& listen_address, std::vector<Sibling> siblings, double silence_s);
   ~PeerLink() override;
@@ -53,7 +56,9 @@
     wire::FrameReader reader;
   };
 
+  void listen_on(const std::string& address);
   void dial(Dialled& dialled);
+  void connection_changed(Dialled& dialled, short events);
   void redial_later(Dialled& dialled);
   void greeted(const std::string& node, std::uint64_t incarnation);
   void accept(evutil_socket_t socket);
--- a/src/net/rate_limit.hpp
+++ b/src/net/rate_limit.hpp
@@ -22,6 +22,7 @@
     refill(now);
     tokens_ = std::max(-burst_, tokens_ - amount);
   }
+  // Tokens that are there now; below 0 what is owed.
   double level(double now) {
     refill(now);
     return tokens_;
--- a/src/net/relay.hpp
+++ b/src/net/relay.hpp
@@ -35,6 +35,7 @@
   wire::Load load;         // capacity 0: takes no workers now
 };
 
+// Says and hears beats, and passes requests to siblings and back.
 class Relay : public runtime::Actor<Relay, Received, RelayCall, Broadcast> {
  public:
   struct Ports {
--- a/src/runtime/actor.hpp
+++ b/src/runtime/actor.hpp
@@ -20,6 +20,7 @@
   Actor(const Actor&) = delete;
   Actor& operator=(const Actor&) = delete;
 
+  // Puts a message into the mailbox; it is taken out on a later turn of the loop.
   void tell(Message message) {
     mailbox_.push_back(std::move(message));
     if (scheduled_) return;
--- a/src/runtime/event_loop.cpp
+++ b/src/runtime/event_loop.cpp
@@ -1,12 +1,17 @@
 #include "runtime/event_loop.hpp"
 
 #include <chrono>
-#include <stdexcept>
 #include <utility>
 
 namespace bankhill::runtime {
 
-namespace {
+// A timer that was set: its event is freed, and so disarmed, with it.
+struct EventLoop::ArmedTimer {
+  std::function<void()> work;
+  OwnedEvent item;
+};
+
+EventLoopError::EventLoopError() : std::runtime_error("cannot create an event base") {}
 
 timeval to_timeval(double seconds) {
   if (seconds < 0) seconds = 0;
@@ -16,21 +21,8 @@
   return value;
 }
 
-struct ArmedTimer {
-  std::function<void()> work;
-  event* item = nullptr;
-  ArmedTimer() = default;
-  ArmedTimer(const ArmedTimer&) = delete;
-  ArmedTimer& operator=(const ArmedTimer&) = delete;
-  ~ArmedTimer() {
-    if (item != nullptr) event_free(item);
-  }
-};
-
-}  // namespace
-
 EventLoop::EventLoop() : base_(event_base_new()) {
-  if (!base_) throw std::runtime_error("cannot create an event base");
+  if (!base_) throw EventLoopError();
   std::random_device device;
   random_.seed((std::uint64_t{device()} << 32) ^ device());
   wake_.reset(event_new(
@@ -60,16 +52,16 @@
 Timer EventLoop::after(double seconds, std::function<void()> work) {
   auto timer = std::make_shared<ArmedTimer>();
   timer->work = std::move(work);
-  timer->item = event_new(
+  timer->item.reset(event_new(
       base_.get(), -1, 0,
       [](evutil_socket_t, short, void* armed) {
         // The work may let go of its own handle: run a moved copy.
         auto run = std::move(static_cast<ArmedTimer*>(armed)->work);
         run();
       },
-      timer.get());
+      timer.get()));
   const timeval delay = to_timeval(seconds);
-  event_add(timer->item, &delay);
+  event_add(timer->item.get(), &delay);
   return timer;
 }
 
