--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -6,6 +6,9 @@
 #include <cstdlib>
 #include <iostream>
 #include <random>
+#include <stdexcept>
+#include <string>
+#include <vector>
 
 #include "app/node.hpp"
 #include "app/settings.hpp"
@@ -86,71 +89,108 @@
   return kExitFailure;
 }
 
+// What the command line asks for. The serving of a controller has no subcommand of its own.
+struct CommandLine {
+  std::string config;
+  std::string operator_config;
+  bool check = false;
+
+  std::string server = "127.0.0.1:8080";
+  std::string job_file;
+  std::vector<std::string> depends_on;
+  std::string job_id;
+};
+
+// A command line that can be parsed but not followed.
+struct UsageError : std::runtime_error {
+  using std::runtime_error::runtime_error;
+};
+
+int submit_job(const CommandLine& line) {
+  auto object = wire::parse_object(app::read_file(line.job_file));
+  if (!line.depends_on.empty() && !object["waits_on"].is_array()) object["waits_on"] = wire::Json::array();
+  for (const auto& id : line.depends_on) object["waits_on"].push_back(id);
+  const auto job = wire::parse_job(object);
+  return ask(line.server, net::Method::post, "/submissions", to_json(job).dump());
+}
+
+std::string job_path(const CommandLine& line) {
+  if (!wire::parse_job_id(line.job_id)) throw UsageError("not a job's id: " + line.job_id);
+  return "/submissions/" + line.job_id;
+}
+
+int show_status(const CommandLine& line) { return ask(line.server, net::Method::get, job_path(line), ""); }
+
+int cancel_job(const CommandLine& line) {
+  return ask(line.server, net::Method::post, job_path(line) + "/withdraw", "{}");
+}
+
+int check_settings(const app::Settings& settings) {
+  if (const auto tenant = app::too_large_tenant(settings))
+    throw app::BadSettings("operator settings: the policy of team '" + *tenant +
+                           "' takes more than one value of the state service");
+  std::cout << settings.cancel_budget().describe() << "\n";
+  if (settings.policy) std::cout << settings.policy->describe(wall_now());
+  std::cout << "settings are fine\n";
+  return 0;
+}
+
+int run_controller(const CommandLine& line) {
+  if (line.config.empty()) throw UsageError("--config is missing; see --help");
+  const auto settings = load(line.config, line.operator_config);
+  if (line.check) return check_settings(settings);
+  serve(settings);
+  return kExitFailure;  // a controller serves until it is ended
+}
+
+// Runs one command; what goes wrong is told on standard error.
+int guarded(int (*command)(const CommandLine&), const CommandLine& line) {
+  const auto failed = [](const std::exception& error, int exit_code) {
+    std::cerr << "bankhill: " << error.what() << "\n";
+    return exit_code;
+  };
+  try {
+    return command(line);
+  } catch (const UsageError& error) {
+    return failed(error, kExitSettings);
+  } catch (const app::BadSettings& error) {
+    return failed(error, kExitSettings);
+  } catch (const wire::Malformed& error) {
+    return failed(error, kExitSettings);
+  } catch (const std::exception& error) {
+    return failed(error, kExitFailure);
+  }
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
   CLI::App program{"bankhill: a cluster scheduler that rents its machines"};
   program.set_version_flag("--version", std::string("bankhill ") + BANKHILL_VERSION);
-  std::string config;
-  std::string operator_config;
-  bool check = false;
-  program.add_option("--config", config, "settings file of the platform (JSON)");
-  program.add_option("--operator-config", operator_config, "operators' own settings (YAML)");
-  program.add_flag("--check", check, "check the settings and exit");
+  CommandLine line;
+  program.add_option("--config", line.config, "settings file of the platform (JSON)");
+  program.add_option("--operator-config", line.operator_config, "operators' own settings (YAML)");
+  program.add_flag("--check", line.check, "check the settings and exit");
 
-  std::string server = "127.0.0.1:8080";
-  std::string file;
-  std::string uid;
   auto* submit = program.add_subcommand("submit", "submit a job described in a JSON file");
-  submit->add_option("--server", server, "address of a controller")->capture_default_str();
-  submit->add_option("file", file, "the job")->required();
-  std::vector<std::string> waits_on;
-  submit->add_option("--waits-on", waits_on, "a job that must be done before; may be given several times")
+  submit->add_option("--server", line.server, "address of a controller")->capture_default_str();
+  submit->add_option("file", line.job_file, "the job")->required();
+  submit
+      ->add_option("--waits-on", line.depends_on,
+                   "a job that must be done before; may be given several times")
       ->expected(1)
       ->take_all();
   auto* status = program.add_subcommand("status", "show the state of a job");
-  status->add_option("--server", server, "address of a controller")->capture_default_str();
-  status->add_option("uid", uid, "the job's id")->required();
+  status->add_option("--server", line.server, "address of a controller")->capture_default_str();
+  status->add_option("uid", line.job_id, "the job's id")->required();
   auto* withdraw = program.add_subcommand("withdraw", "cancel a job");
-  withdraw->add_option("--server", server, "address of a controller")->capture_default_str();
-  withdraw->add_option("uid", uid, "the job's id")->required();
+  withdraw->add_option("--server", line.server, "address of a controller")->capture_default_str();
+  withdraw->add_option("uid", line.job_id, "the job's id")->required();
   program.require_subcommand(0, 1);
   CLI11_PARSE(program, argc, argv);
 
-  try {
-    if (*submit) {
-      auto object = wire::parse_object(app::read_file(file));
-      if (!waits_on.empty() && !object["waits_on"].is_array()) object["waits_on"] = wire::Json::array();
-      for (const auto& id : waits_on) object["waits_on"].push_back(id);
-      const auto job = wire::parse_job(object);
-      return ask(server, net::Method::post, "/submissions", to_json(job).dump());
-    }
-    if (*status || *withdraw) {
-      if (!wire::parse_job_id(uid)) throw app::BadSettings("not a job's id: " + uid);
-      return *status ? ask(server, net::Method::get, "/submissions/" + uid, "")
-                     : ask(server, net::Method::post, "/submissions/" + uid + "/withdraw", "{}");
-    }
-    if (config.empty()) throw app::BadSettings("--config is missing; see --help");
-    const auto settings = load(config, operator_config);
-    if (check) {
-      if (const auto tenant = app::too_large_tenant(settings))
-        throw app::BadSettings("operator settings: the policy of team '" + *tenant +
-                               "' takes more than one value of the state service");
-      std::cout << settings.cancel_budget().describe() << "\n";
-      if (settings.policy) std::cout << settings.policy->describe(wall_now());
-      std::cout << "settings are fine\n";
-      return 0;
-    }
-    serve(settings);
-  } catch (const app::BadSettings& error) {
-    std::cerr << "bankhill: " << error.what() << "\n";
-    return kExitSettings;
-  } catch (const wire::Malformed& error) {
-    std::cerr << "bankhill: " << error.what() << "\n";
-    return kExitSettings;
-  } catch (const std::exception& error) {
-    std::cerr << "bankhill: " << error.what() << "\n";
-    return kExitFailure;
-  }
-  return kExitFailure;
+  if (*submit) return guarded(submit_job, line);
+  if (*status) return guarded(show_status, line);
+  if (*withdraw) return guarded(cancel_job, line);
+  return guarded(run_controller, line);
 }
