--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -33,6 +33,11 @@
 constexpr double kKeptOverdue = 0.25;     // of the time in which the largest should begin
 constexpr std::size_t kKeptMost = 8;      // machines kept at a time, fewer than a task looks at
 
+// A task that runs on for longer gives nothing back soon. Taken from shorter ones, room went round in
+// circles: the stopped tasks started elsewhere and were stopped again, and little was finished
+// (lakaskalk-grown, rough).
+constexpr double kLongRounds = 60;
+
 bool has_prefix(const std::string& key, const std::string& prefix) { return key.starts_with(prefix); }
 }  // namespace
 
@@ -46,7 +51,8 @@
       strangers_(settings_.pace_s, settings_.lease_s, kStrangers),
       queue_(queue_settings(), queue_facts()),
       replicas_({settings_.gang_wait_s, settings_.gang_peer_s, settings_.gang_wait_s}),
-      kept_room_({settings_.pace_s, kKeptOverdue * settings_.begin_within_s, kKeptMost}) {
+      kept_room_({settings_.pace_s, kKeptOverdue * settings_.begin_within_s, kKeptMost}),
+      victim_selector_(jobs_, waits_, quota_, kLongRounds * settings_.round_s) {
   value_bytes_ = wire::usable_bytes(settings_.value_kb);
   most_writes_ = settings_.txn_ops;
 }
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -13,6 +13,7 @@
 
 #include "calendar/outlook.hpp"
 #include "cloud/cloud.hpp"
+#include "leader/preemption.hpp"
 #include "leader/quota_ledger.hpp"
 #include "leader/strangers.hpp"
 #include "model/boots.hpp"
@@ -144,10 +145,17 @@
     std::uint64_t counter = 0;
     net::RulingReply reply;
   };
-  struct Missed {       // why no machine was found for a task
-    bool own = false;   // one with room was passed over for a reason that is this task's own
-    bool kept = false;  // one was that is kept for another, which only shorter tasks may use
+  struct MachineSearch {  // for a task; if no machine was found, why
+    model::Machine* machine = nullptr;
+    bool own_reason = false;  // one with room was passed over for a reason that is this task's own
+    bool reserved = false;    // one was that is reserved for another, which only shorter tasks may use
   };
+  enum class PreemptionState {
+    may_search,   // for tasks to stop
+    room_coming,  // what was stopped before is on its way
+    wait,
+  };
+  struct PlacementTurn;
   struct Rental {
     wire::RentalRecord record;
     bool asking = false;
@@ -278,11 +286,29 @@
   bool within_guarantee(const model::Job& job) const;
   bool zone_allows(const model::Job& job, const std::string& zone) const;
   bool unconfirmed_could_hold(const model::Job& job) const;
-  model::Machine* pick(const model::Job& job, bool reclaimable, Missed& missed);
+  void place_with_next_order();
+  void place_job(const queue::Candidate& candidate, PlacementTurn& turn);
+  void place_tasks(model::Job& job, bool first_only, bool hopeless, PlacementTurn& turn);
+  MachineSearch find_machine(const model::Job& job);
+  bool needs_service_reserve(const model::Job& job) const;
+  void pick(const model::Job& job, bool reclaimable, MachineSearch& search);
+  bool suits(const model::Machine& machine, const model::Job& job, const wire::MemberId& task) const;
+  bool reserved_for_others(const model::Machine& machine, const model::Job& job, wire::Rank priority,
+                           double now) const;
+  double image_pull_s(const model::Job& job, const Pool& pool) const;
+  void wait_for_machine(model::Job& job, const MachineSearch& search, bool hopeless, PlacementTurn& turn);
+  void start_task(model::Machine& machine, model::Job& job, std::uint32_t index, PlacementTurn& turn);
+  void note_begun_early(const model::Job& job);
+  void send_starts(PlacementTurn& turn);
   bool keep_room(model::Job& job);
+  std::optional<double> has_room_at(const model::Machine& machine, const wire::Amounts& request) const;
   void answer_awaiting();
   void bind(model::Machine& machine, model::Job& job, std::uint32_t index);
   bool make_room(model::Job& job, bool with_image);
+  PreemptionState preemption_state(const model::Job& job, bool with_image) const;
+  bool may_reclaim_borrowed(const model::Job& job) const;
+  bool could_run_on(const model::Machine& machine, const model::Job& job) const;
+  void stop_victims(const PreemptionCandidate& chosen, const model::Job& job);
   bool crowded(const model::Machine& machine, const model::Job& job) const;
 
   // Replicas that span machines (replicas.cpp)
@@ -395,7 +421,7 @@
   queue::MadeRoom made_room_;
   wire::HostId keep_cursor_;
   calendar::Outlook outlook_;  // of the tenants' cutoffs
-  wire::HostId room_cursor_;
+  VictimSelector victim_selector_;
   std::size_t unanswered_ = 0;  // direct requests unanswered and reports relayed, in this pace
   double heard_directly_ = 0;   // when a machine last reached us, or we it, without a sibling's help
   std::size_t sample_out_ = 0;
--- a/src/leader/placement.cpp
+++ b/src/leader/placement.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <cmath>
 #include <limits>
-#include <tuple>
 
 #include "leader/leader.hpp"
+#include "leader/unplaceable_requests.hpp"
 
 namespace bankhill::leader {
 
@@ -17,10 +17,6 @@
 using wire::Verb;
 
 namespace {
-// A task that runs on for longer gives nothing back soon. Taken from shorter ones, room went round in
-// circles: the stopped tasks started elsewhere and were stopped again, and little was finished
-// (lakaskalk-grown, rough).
-constexpr double kLongRounds = 60;
 constexpr double kRoomComes = 0.15;  // paces that a task needs to stop and tell
 constexpr double kRoomPaces = 4;     // for which room that was made is its task's alone
 constexpr double kServiceRoomPaces = 2;
@@ -35,6 +31,16 @@
 const std::string kDrains = "a machine drains for it";
 }  // namespace
 
+// One pass over the waiting jobs: what it may still do, and what it has found.
+struct Leader::PlacementTurn {
+  int binds_left = kBindsPerTurn;
+  std::size_t preemptions_left = kRoomTries;
+  UnplaceableRequests unplaceable;
+  std::set<wire::HostId> answered_machines;  // whose report waits for its answer
+  Orders starts;                             // for the other machines
+  bool tasks_wait = false;                   // for a machine
+};
+
 void Leader::place_soon() {
   if (std::exchange(place_scheduled_, true)) return;
   loop().post(guard([this] {
@@ -119,48 +125,57 @@
   return machine.service_cores + job.spec.need.cores > most + kRounding;
 }
 
-Machine* Leader::pick(const Job& job, bool reclaimable, Missed& missed) {
-  bool kept = false;
-  bool own = false;
+// Whether the task itself may be on the machine, whatever else waits.
+bool Leader::suits(const Machine& machine, const Job& job, const wire::MemberId& task) const {
+  return !job.failed_on.contains(machine.host) && !crowded(machine, job) &&
+         zone_allows(job, machine.rack_room) && !machine.leftovers.contains(task);
+}
+
+// Whether room on the machine is for others: tasks were stopped there for another job, or it drains for one.
+// Also if tasks were stopped elsewhere for the job's last task, which would be in vain.
+bool Leader::reserved_for_others(const Machine& machine, const Job& job, wire::Rank priority,
+                                 double now) const {
+  const auto& id = job.spec.uid;
+  if (!made_room_.allows(machine.host, id, priority, job.spec.need, machine.room(), now)) return true;
+  if (job.service()) return false;
+  if (job.ready < 2 && made_room_.waits_elsewhere(id, machine.host, now)) return true;
+  return !kept_room_.allows(machine.host, id, now, task_s(job));
+}
+
+double Leader::image_pull_s(const Job& job, const Pool& pool) const {
+  const auto* type = flavor(pool.flavor);
+  return type == nullptr || type->pull_gb_per_s <= 0 ? 0.0 : job.spec.size_gb / type->pull_gb_per_s;
+}
+
+// Looks among the steady or the preemptible machines for one that takes the job's next task, and adds to
+// `search` why there is none.
+void Leader::pick(const Job& job, bool reclaimable, MachineSearch& search) {
+  const double now = loop().now();
+  const auto priority = rank(job);
+  const wire::MemberId task{job.spec.uid, job.cursor};
+  // When zones are apart, the leader is where most controllers are: services elsewhere would end with their
+  // machines' leases.
+  const bool prefers_main_zone = job.service() && !settings_.main_zone.empty();
+  bool reserved = false;
+  bool unsuitable = false;
   model::Fleet::Choice choice{
       job.spec, reclaimable,
       // A service stays: on a large machine it would keep all of it rented.
-      job.service(),
-      [&](const Pool& pool) {
-        const auto* type = flavor(pool.flavor);
-        return type == nullptr || type->pull_gb_per_s <= 0 ? 0.0 : job.spec.size_gb / type->pull_gb_per_s;
-      },
-      // When zones are apart, the leader is where most controllers are: services
-      // elsewhere would end with their machines' leases.
+      job.service(), [&](const Pool& pool) { return image_pull_s(job, pool); },
       [&](const Pool& pool) {
-        const bool aside =
-            job.service() && !settings_.main_zone.empty() && pool.rack_room != settings_.main_zone;
-        return aside ? settings_.pace_s : 0.0;
+        return prefers_main_zone && pool.rack_room != settings_.main_zone ? settings_.pace_s : 0.0;
       },
       [&](const Machine& machine) {
-        const bool suits = !job.failed_on.contains(machine.host) && !crowded(machine, job) &&
-                           zone_allows(job, machine.rack_room) &&
-                           !machine.leftovers.contains({job.spec.uid, job.cursor});
-        own = own || !suits;
-        const double now = loop().now();
-        if (suits &&
-            (!made_room_.allows(machine.host, job.spec.uid, rank(job), job.spec.need, machine.room(), now) ||
-             (!job.service() && job.ready < 2 &&
-              made_room_.waits_elsewhere(job.spec.uid, machine.host, now)))) {
-          kept = true;
-          return false;
-        }
-        if (!suits || job.service() ||
-            kept_room_.allows(machine.host, job.spec.uid, loop().now(), task_s(job)))
-          return suits;
-        kept = true;
-        return false;
+        const bool fine = suits(machine, job, task);
+        const bool for_others = fine && reserved_for_others(machine, job, priority, now);
+        unsuitable = unsuitable || !fine;
+        reserved = reserved || for_others;
+        return fine && !for_others;
       },
       false};
-  auto* machine = fleet_.pick(choice);
-  missed.own = missed.own || own || (choice.passed && !kept);
-  missed.kept = missed.kept || kept;
-  return machine;
+  search.machine = fleet_.pick(choice);
+  search.own_reason = search.own_reason || unsuitable || (choice.passed && !reserved);
+  search.reserved = search.reserved || reserved;
 }
 
 void Leader::bind(Machine& machine, Job& job, std::uint32_t index) {
@@ -211,148 +226,146 @@
     log_->info("overload: over, work goes by slack again");
 }
 
+// The paper's Algorithm 4: goes through the waiting jobs, best first, and starts their tasks where they fit.
 void Leader::place() {
   if (!valid() || flavors_.empty() || loop().now() < blind_until_) return answer_awaiting();
   act_on_replicas();
   move_replicas();
   const auto& order = queue_.in_order({loop().now(), loop().wall()});
-  if (queue_.again_s() > 0 && !place_timer_)
-    place_timer_ = loop().after(queue_.again_s(), guard([this] {
-                                  place_timer_.reset();
-                                  place_soon();
-                                }));
-  Orders orders;
-  std::set<wire::HostId> answered_now;
-  for (const auto& waiting : awaiting_) answered_now.insert(waiting.host);
-  struct Full {  // what found no machine: nothing that needs as much will
-    wire::Amounts need;
-    bool reclaimable;
-    double least_s;  // and runs for as long: shorter ones may use what is kept for others meanwhile
-  };
-  std::vector<Full> full;
-  const auto steady_free = [this] {
-    double cores = 0;
-    for (const auto& [pool, state] : fleet_.pools())
-      if (!pool.reclaimable) cores += state.sums.free_cores;
-    return cores;
-  };
-  bool waiting = false;
-  int left = kBindsPerTurn;
-  std::size_t room_tries = kRoomTries;
+  place_with_next_order();
+  PlacementTurn turn;
+  for (const auto& waiting : awaiting_) turn.answered_machines.insert(waiting.host);
   for (const auto& candidate : order) {
-    if (left <= 0) break;
-    const bool hopeless =
-        kept_room_.host_of(candidate.id) == nullptr && !made_room_.on_its_way(candidate.id, loop().now()) &&
-        std::any_of(full.begin(), full.end(), [&](const Full& item) {
-          return item.need.fits(candidate.need) && (item.reclaimable || !candidate.reclaimable) &&
-                 candidate.task_s >= item.least_s;
-        });
-    // Thousands may wait in vain: only the first of them make room, the others cost a comparison.
-    if (hopeless && room_tries == 0 && !replicas_.follows(candidate.id)) continue;
-    auto* const found = queue_.find(candidate.id);
-    if (found == nullptr || !may_start(*found)) continue;
-    auto& job = *found;
-    if (replicas_.follows(job.spec.uid)) {
-      left -= place_replicas(job, orders);
-      waiting = waiting || placeable(job) > 0;
-      continue;
-    }
-    if (candidate.first_only && job.begun()) continue;
-    std::uint32_t index = 0;
-    while (left > 0 && !job.on_trial() && job.next_ready(index)) {
-      if (!team_has_room(job)) {
-        job.reason = "the team's limit is reached";
-        break;
-      }
-      Missed missed;
-      // Room that services to come will need is not given to batches.
-      // Except to the few for which a machine drains: what ends beside it goes to smaller ones, which fit
-      // above the reserve sooner.
-      const bool drains = kept_room_.host_of(job.spec.uid) != nullptr;
-      const bool reserved =
-          !job.service() && !drains && steady_free() - job.spec.need.cores < reserve_cores_ - kRounding;
-      missed.own = reserved;
-      auto* machine = hopeless || reserved ? nullptr : pick(job, false, missed);
-      if (machine == nullptr && !hopeless && job.spec.reclaimable) machine = pick(job, true, missed);
-      // A service that would have to wait for its image starts sooner where a batch makes room beside it.
-      if (machine != nullptr && job.service() && !machine->images.contains(job.spec.bundle) &&
-          make_room(job, true))
-        break;
-      if (machine == nullptr) {
-        waiting = true;
-        if (!job.faulty) job.reason = kNoRoom;
-        if (!hopeless && !missed.own && !job.spec.flavors && !job.spec.rack_room)
-          full.push_back({job.spec.need, job.spec.reclaimable, missed.kept ? task_s(job) : 0});
-        // Also when less is free in all than it needs, as in any full fleet.
-        if (queue_.overdue(job, loop().wall()) && keep_room(job)) job.reason = kDrains;
-        if (!job.faulty && room_tries > 0) {
-          --room_tries;
-          make_room(job, false);
-        }
-        break;
-      }
-      bind(*machine, job, index);
-      kept_room_.release(job.spec.uid);
-      made_room_.placed(job.spec.uid, machine->host, job.ready > 0);
-      --left;
-      const wire::MemberId member{job.spec.uid, index};
-      // A machine whose report waits for its answer gets the order with it.
-      if (!answered_now.contains(machine->host))
-        orders[machine->host].push_back({Verb::start, member, machine->binds.at(member).try_no, 0});
-      if (job.ready == 0) job.reason.clear();
-      if (candidate.first_only) {
-        ++tally_["large jobs begun before others"];
-        log_->debug("job {}: begins before others, {:.0f} s after its waiting began", job.spec.uid.value,
-                    loop().wall() - job.ready_at);
-        break;
-      }
-    }
+    if (turn.binds_left <= 0) break;
+    place_job(candidate, turn);
   }
-  std::erase_if(orders, [&](const auto& entry) { return answered_now.contains(entry.first); });
-  for (auto& [host, list] : orders)
-    if (auto* machine = fleet_.find(host)) send_direct(*machine, std::move(list));
+  send_starts(turn);
   answer_awaiting();
-  if (waiting) plan_soon();
+  if (turn.tasks_wait) plan_soon();
   // Bounded, so that leases, reports and probes are never late behind thousands of tasks.
-  if (left <= 0) place_soon();
+  if (turn.binds_left <= 0) place_soon();
+}
+
+// The order of many waiting jobs lasts for a while: the next one may show others although nothing happened.
+void Leader::place_with_next_order() {
+  if (queue_.again_s() <= 0 || place_timer_) return;
+  place_timer_ = loop().after(queue_.again_s(), guard([this] {
+                                place_timer_.reset();
+                                place_soon();
+                              }));
+}
+
+void Leader::place_job(const queue::Candidate& candidate, PlacementTurn& turn) {
+  const bool has_reservation =
+      kept_room_.host_of(candidate.id) != nullptr || made_room_.on_its_way(candidate.id, loop().now());
+  const bool hopeless = !has_reservation && turn.unplaceable.cover(candidate);
+  // Thousands may wait in vain: only the first of them make room, the others cost a comparison.
+  if (hopeless && turn.preemptions_left == 0 && !replicas_.follows(candidate.id)) return;
+  auto* const job = queue_.find(candidate.id);
+  if (job == nullptr || !may_start(*job)) return;
+  if (replicas_.follows(job->spec.uid)) {
+    turn.binds_left -= place_replicas(*job, turn.starts);
+    turn.tasks_wait = turn.tasks_wait || placeable(*job) > 0;
+    return;
+  }
+  if (candidate.first_only && job->begun()) return;
+  place_tasks(*job, candidate.first_only, hopeless, turn);
+}
+
+// Starts the job's ready tasks until one finds no machine; `first_only`: one of them.
+void Leader::place_tasks(Job& job, bool first_only, bool hopeless, PlacementTurn& turn) {
+  std::uint32_t index = 0;
+  while (turn.binds_left > 0 && !job.on_trial() && job.next_ready(index)) {
+    if (!team_has_room(job)) {
+      job.reason = "the team's limit is reached";
+      return;
+    }
+    const auto search = hopeless ? MachineSearch{} : find_machine(job);
+    if (search.machine == nullptr) return wait_for_machine(job, search, hopeless, turn);
+    // A service that would have to wait for its image starts sooner where a batch makes room beside it.
+    if (job.service() && !search.machine->images.contains(job.spec.bundle) && make_room(job, true)) return;
+    start_task(*search.machine, job, index, turn);
+    if (first_only) return note_begun_early(job);
+  }
+}
+
+// Steady machines first, then preemptible ones if the job allows them.
+Leader::MachineSearch Leader::find_machine(const Job& job) {
+  MachineSearch search;
+  search.own_reason = needs_service_reserve(job);
+  if (!search.own_reason) pick(job, false, search);
+  if (search.machine == nullptr && job.spec.reclaimable) pick(job, true, search);
+  return search;
+}
+
+// Room that services to come will need is not given to batches.
+// Except to the few for which a machine drains: what ends beside it goes to smaller ones, which fit above the
+// reserve sooner.
+bool Leader::needs_service_reserve(const Job& job) const {
+  if (job.service() || kept_room_.host_of(job.spec.uid) != nullptr) return false;
+  double steady_free = 0;
+  for (const auto& [pool, state] : fleet_.pools())
+    if (!pool.reclaimable) steady_free += state.sums.free_cores;
+  return steady_free - job.spec.need.cores < reserve_cores_ - kRounding;
+}
+
+// The job's next task found no machine: says why, and may make one drain or stop other tasks for it.
+void Leader::wait_for_machine(Job& job, const MachineSearch& search, bool hopeless, PlacementTurn& turn) {
+  turn.tasks_wait = true;
+  if (!job.faulty) job.reason = kNoRoom;
+  if (!hopeless && !search.own_reason && !job.spec.flavors && !job.spec.rack_room)
+    turn.unplaceable.add({job.spec.need, job.spec.reclaimable, search.reserved ? task_s(job) : 0});
+  // Also when less is free in all than it needs, as in any full fleet.
+  if (queue_.overdue(job, loop().wall()) && keep_room(job)) job.reason = kDrains;
+  if (job.faulty || turn.preemptions_left == 0) return;
+  --turn.preemptions_left;
+  make_room(job, false);
+}
+
+void Leader::start_task(Machine& machine, Job& job, std::uint32_t index, PlacementTurn& turn) {
+  bind(machine, job, index);
+  kept_room_.release(job.spec.uid);
+  made_room_.placed(job.spec.uid, machine.host, job.ready > 0);
+  --turn.binds_left;
+  const wire::MemberId task{job.spec.uid, index};
+  // A machine whose report waits for its answer gets the order with it.
+  if (!turn.answered_machines.contains(machine.host))
+    turn.starts[machine.host].push_back({Verb::start, task, machine.binds.at(task).try_no, 0});
+  if (job.ready == 0) job.reason.clear();
+}
+
+void Leader::note_begun_early(const Job& job) {
+  ++tally_["large jobs begun before others"];
+  log_->debug("job {}: begins before others, {:.0f} s after its waiting began", job.spec.uid.value,
+              loop().wall() - job.ready_at);
+}
+
+void Leader::send_starts(PlacementTurn& turn) {
+  for (auto& [host, orders] : turn.starts) {
+    if (turn.answered_machines.contains(host)) continue;
+    if (auto* machine = fleet_.find(host)) send_direct(*machine, std::move(orders));
+  }
 }
 
 // Chooses the machine that should have room for one of its tasks first, and keeps it: else smaller tasks pass
 // it for as long as they come. Says whether one is kept for it.
 bool Leader::keep_room(Job& job) {
   const double now = loop().now();
-  const auto& need = job.spec.need;
+  const auto drains = [](const Machine& machine) { return machine.takes_tasks() && !machine.quiet; };
   if (const auto* host = kept_room_.host_of(job.spec.uid)) {
     const auto* machine = fleet_.peek(*host);
-    if (machine == nullptr || !machine->takes_tasks() || machine->quiet) kept_room_.lose(wire::HostId{*host});
+    if (machine == nullptr || !drains(*machine)) kept_room_.lose(wire::HostId{*host});
   }
   if (!kept_room_.wants(job.spec.uid, now)) return kept_room_.host_of(job.spec.uid) != nullptr;
   const Machine* best = nullptr;
   double best_at = std::numeric_limits<double>::max();
-  fleet_.visit_after(keep_cursor_, kRoomLook, [&](Machine& machine) {
-    if (!machine.takes_tasks() || machine.quiet || kept_room_.kept(machine.host)) return;
-    if (!model::allows(job.spec, {machine.flavor, machine.rack_room, machine.reclaimable}) ||
-        !zone_allows(job, machine.rack_room) || !need.fits(machine.size) ||
-        job.failed_on.contains(machine.host))
-      return;
-    std::vector<std::pair<double, wire::Amounts>> ends;
-    for (const auto& [member, bind] : machine.binds) {
-      const auto other = jobs_.find(member.job);
-      if (other == jobs_.end() || (bind.service && !bind.stopping)) continue;
-      const double runs = bind.running_since > 0 ? now - bind.running_since : 0;
-      ends.emplace_back(bind.stopping ? now : now + std::max(0.0, task_s(other->second) - runs), bind.need);
-    }
-    std::sort(ends.begin(), ends.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
-    auto room = machine.room();
-    double at = now;
-    for (const auto& [end, back] : ends) {
-      if (need.fits(room)) break;
-      room += back;
-      at = end;
-    }
-    if (!need.fits(room) || at >= best_at) return;
+  fleet_.visit_after(keep_cursor_, kRoomLook, [&](const Machine& machine) {
+    if (!drains(machine) || kept_room_.kept(machine.host)) return;
+    if (!could_run_on(machine, job) || job.failed_on.contains(machine.host)) return;
+    const auto at = has_room_at(machine, job.spec.need);
+    if (!at || *at >= best_at) return;
     best = &machine;
-    best_at = at;
+    best_at = *at;
   });
   if (best == nullptr) return false;
   kept_room_.keep(job.spec.uid, best->host, best_at);
@@ -362,6 +375,31 @@
   return true;
 }
 
+// When enough of the machine's tasks should have ended, by their estimated runtimes; nothing if they do not.
+std::optional<double> Leader::has_room_at(const Machine& machine, const wire::Amounts& request) const {
+  struct Ending {
+    double at = 0;
+    wire::Amounts resources;
+  };
+  const double now = loop().now();
+  std::vector<Ending> endings;
+  for (const auto& [member, bind] : machine.binds) {
+    const auto job = jobs_.find(member.job);
+    if (job == jobs_.end() || (bind.service && !bind.stopping)) continue;
+    const double remaining_s = std::max(0.0, task_s(job->second) - bind.running_s(now));
+    endings.push_back({bind.stopping ? now : now + remaining_s, bind.need});
+  }
+  std::sort(endings.begin(), endings.end(), [](const Ending& a, const Ending& b) { return a.at < b.at; });
+  auto room = machine.room();
+  double at = now;
+  for (const auto& ending : endings) {
+    if (request.fits(room)) break;
+    room += ending.resources;
+    at = ending.at;
+  }
+  return request.fits(room) ? std::optional(at) : std::nullopt;
+}
+
 void Leader::answer_awaiting() {
   for (auto& waiting : std::exchange(awaiting_, {})) {
     auto* machine = fleet_.find(waiting.host);
@@ -372,84 +410,80 @@
   }
 }
 
-// Preemption: stops tasks of lower rank, or of a team above its guarantee when this job's team is within
-// its own, on the one machine where the least progress is lost.
+// Preemption: stops tasks that the selector chooses on one machine, so that a task of the job can start.
 // `with_image`: only where the image is. Says whether room is on its way.
 bool Leader::make_room(Job& job, bool with_image) {
   const double now = loop().now();
-  // What was stopped for it before is on its way.
-  if (now - job.made_room_at < settings_.pace_s)
-    // Room made where the image is not is all that it gets: waiting on for a better one, a service left it to
-    // the next batch and made room again each pace, 20 s down after its machine died (lakaskalk, troubles).
-    return now - job.made_room_at < kRoomComes * settings_.pace_s && (!with_image || job.room_has_image);
-  if (!job.service() && made_room_.on_its_way(job.spec.uid, now)) return true;
-  // A batch in a flood is one of thousands that look for room at each event.
-  if (!job.service() && now - job.sought_room_at < kRoomAgain * settings_.pace_s) return false;
+  switch (preemption_state(job, with_image)) {
+    case PreemptionState::room_coming:
+      return true;
+    case PreemptionState::wait:
+      return false;
+    case PreemptionState::may_search:
+      break;
+  }
   job.sought_room_at = now;
-  // Stopped work is mostly lost, and borrowed room comes back by itself as tasks end: taken back by force
-  // is only what long tasks would not give back soon, when a whole round has not brought enough.
-  const bool guaranteed = within_guarantee(job) && loop().wall() - job.ready_at > settings_.round_s &&
-                          quota_.others_borrow(job.spec.owner);
-  const auto own_rank = rank(job);
-  if (!guaranteed && quota_.cores_below(own_rank) < kRounding) return false;
-  Machine* best = nullptr;
-  std::vector<wire::MemberId> best_victims;
-  std::pair<bool, double> best_loss{true, std::numeric_limits<double>::max()};
+  const Preemptor preemptor{job, rank(job), may_reclaim_borrowed(job)};
+  if (!preemptor.reclaims_borrowed && quota_.cores_below(preemptor.priority) < kRounding) return false;
+  const auto allowed = [&](const Machine& machine) {
+    if (made_room_.made(machine.host, now) || !could_run_on(machine, job)) return false;
+    return (!with_image || machine.images.contains(job.spec.bundle)) && !crowded(machine, job);
+  };
   // A part of the fleet at a time, going round: the best of some dozens is hardly worse than the best of all.
-  fleet_.visit_after(room_cursor_, kRoomLook, [&](Machine& machine) {
-    if (!machine.takes_tasks() || machine.quiet || made_room_.made(machine.host, now)) return;
-    if (!model::allows(job.spec, {machine.flavor, machine.rack_room, machine.reclaimable}) ||
-        !zone_allows(job, machine.rack_room) || !job.spec.need.fits(machine.size))
-      return;
-    wire::Amounts room = machine.room();
-    double loss = 0;
-    std::vector<wire::MemberId> victims;
-    for (const auto& [member, bind] : machine.binds)
-      if (bind.stopping) return;  // this room is meant for another
-    for (const auto& [member, bind] : machine.binds) {
-      if (job.spec.need.fits(room)) break;
-      const auto other = jobs_.find(member.job);
-      if (other == jobs_.end() || bind.owner.empty()) continue;
-      const bool lower = rank(other->second) < own_rank;
-      // A team's services count towards its guarantee first: it is its batches that borrow. Stopped for
-      // that, services were down all day while their team's batches went on (lakaskalk-grown).
-      const bool borrowed =
-          guaranteed && bind.owner != job.spec.owner && quota_.borrows(bind.owner, bind.service);
-      const double left =
-          other->second.service()
-              ? std::numeric_limits<double>::max()
-              : task_s(other->second) - (bind.running_since > 0 ? now - bind.running_since : 0);
-      if (!lower && !(borrowed && left > kLongRounds * settings_.round_s)) continue;
-      room += bind.need;
-      victims.push_back(member);
-      loss += (bind.running_since > 0 ? now - bind.running_since : 0) * bind.need.cores;
-    }
-    // Room on a machine that must fetch the image first is of use only later.
-    const std::pair costs{!machine.images.contains(job.spec.bundle), loss};
-    if ((with_image && costs.first) || crowded(machine, job)) return;
-    if (victims.empty() || !job.spec.need.fits(room) || costs >= best_loss) return;
-    best = &machine;
-    best_victims = std::move(victims);
-    best_loss = costs;
-  });
-  if (best == nullptr) return false;
+  const auto chosen = victim_selector_.choose(fleet_, kRoomLook, preemptor, allowed, now);
+  if (!chosen) return false;
   job.made_room_at = now;
-  job.room_has_image = !best_loss.first;
-  made_room_.make(job.spec.uid, best->host, own_rank, job.spec.need, now,
+  job.room_has_image = !chosen->cost.lacks_image;
+  made_room_.make(job.spec.uid, chosen->machine_id, preemptor.priority, job.spec.need, now,
                   now + (job.service() ? kServiceRoomPaces : kRoomPaces) * settings_.pace_s);
-  for (const auto& member : best_victims) {
-    auto& bind = best->binds.at(member);
-    if (const auto span = replicas_.board().span(member.job); span > 1) {  // whole, or not at all
-      replicas_.board().evict({member.job, member.index / span}, now);
+  stop_victims(*chosen, job);
+  return true;
+}
+
+// Whether other tasks may be stopped for the job now.
+Leader::PreemptionState Leader::preemption_state(const Job& job, bool with_image) const {
+  const double now = loop().now();
+  // What was stopped for it before is on its way.
+  if (now - job.made_room_at < settings_.pace_s) {
+    // Room made where the image is not is all that it gets: waiting on for a better one, a service left it to
+    // the next batch and made room again each pace, 20 s down after its machine died (lakaskalk, troubles).
+    const bool comes = now - job.made_room_at < kRoomComes * settings_.pace_s;
+    return comes && (!with_image || job.room_has_image) ? PreemptionState::room_coming
+                                                        : PreemptionState::wait;
+  }
+  if (job.service()) return PreemptionState::may_search;
+  if (made_room_.on_its_way(job.spec.uid, now)) return PreemptionState::room_coming;
+  // A batch in a flood is one of thousands that look for room at each event.
+  return now - job.sought_room_at < kRoomAgain * settings_.pace_s ? PreemptionState::wait
+                                                                  : PreemptionState::may_search;
+}
+
+// Stopped work is mostly lost, and borrowed room comes back by itself as tasks end: taken back by force is
+// only what long tasks would not give back soon, when a whole round has not brought enough.
+bool Leader::may_reclaim_borrowed(const Job& job) const {
+  return within_guarantee(job) && loop().wall() - job.ready_at > settings_.round_s &&
+         quota_.others_borrow(job.spec.owner);
+}
+
+// Whether the machine could run a task of the job if it were empty.
+bool Leader::could_run_on(const Machine& machine, const Job& job) const {
+  return model::allows(job.spec, {machine.flavor, machine.rack_room, machine.reclaimable}) &&
+         zone_allows(job, machine.rack_room) && job.spec.need.fits(machine.size);
+}
+
+void Leader::stop_victims(const PreemptionCandidate& chosen, const Job& job) {
+  auto& machine = *fleet_.find(chosen.machine_id);
+  for (const auto& victim : chosen.victims) {
+    if (const auto span = replicas_.board().span(victim.job); span > 1) {  // whole, or not at all
+      replicas_.board().evict({victim.job, victim.index / span}, loop().now());
       continue;
     }
-    const auto& spec = jobs_.at(member.job).spec;
-    log_->debug("job {}: {} makes room for it", job.spec.uid.value, member.text());
+    const auto& spec = jobs_.at(victim.job).spec;
+    log_->debug("job {}: {} makes room for it", job.spec.uid.value, victim.text());
     ++tally_["tasks made room"];
-    stop(*best, bind, spec.snapshot_every_s > 0 ? spec.flush_s : 0);
+    stop(machine, machine.binds.at(victim), spec.snapshot_every_s > 0 ? spec.flush_s : 0);
   }
   act_on_replicas();
-  return true;
 }
 
 }  // namespace bankhill::leader
--- a/src/leader/replicas.cpp
+++ b/src/leader/replicas.cpp
@@ -83,10 +83,7 @@
 replicas::Site Leader::replica_site(const Job& job) const {
   return {job.spec,
           settings_.main_zone,
-          [this, &job](const Pool& pool) {
-            const auto* type = flavor(pool.flavor);
-            return type == nullptr || type->pull_gb_per_s <= 0 ? 0.0 : job.spec.size_gb / type->pull_gb_per_s;
-          },
+          [this, &job](const Pool& pool) { return image_pull_s(job, pool); },
           [this, &job](const Machine& machine) {
             return !job.failed_on.contains(machine.host) && !crowded(machine, job);
           },
--- /dev/null
+++ b/src/leader/unplaceable_requests.cpp
@@ -0,0 +1,14 @@
+#include "leader/unplaceable_requests.hpp"
+
+#include <algorithm>
+
+namespace bankhill::leader {
+
+bool UnplaceableRequests::cover(const queue::Candidate& job) const {
+  return std::any_of(requests_.begin(), requests_.end(), [&](const Request& request) {
+    return request.resources.fits(job.need) && (request.allows_preemptible || !job.reclaimable) &&
+           job.task_s >= request.min_runtime_s;
+  });
+}
+
+}  // namespace bankhill::leader
--- /dev/null
+++ b/src/leader/unplaceable_requests.hpp
@@ -0,0 +1,29 @@
+// What found no machine so far while waiting tasks are placed: nothing that needs as much will find one
+// either, and a comparison costs less than another search. Pure.
+#pragma once
+
+#include <vector>
+
+#include "queue/queue.hpp"
+#include "wire/messages.hpp"
+
+namespace bankhill::leader {
+
+class UnplaceableRequests {
+ public:
+  struct Request {
+    wire::Amounts resources;
+    bool allows_preemptible = false;
+    // Tasks that run for less may still find one: among what is reserved for others until then.
+    double min_runtime_s = 0;
+  };
+
+  void add(const Request& request) { requests_.push_back(request); }
+  // Whether a task of the job will find no machine either.
+  bool cover(const queue::Candidate& job) const;
+
+ private:
+  std::vector<Request> requests_;
+};
+
+}  // namespace bankhill::leader
--- a/src/model/machine.hpp
+++ b/src/model/machine.hpp
@@ -38,6 +38,9 @@
   double since = 0;  // steady clock: when it was bound
   double running_since = 0;
   StartsUnderWay starts;
+
+  // How long it has been running.
+  double running_s(double now) const { return running_since > 0 ? now - running_since : 0; }
 };
 
 // An exited attempt that the worker still lists.
