--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -23,6 +23,11 @@
 constexpr double kKeptOverdue = 0.25;  // of the time in which the largest should begin
 constexpr std::size_t kKeptMost = 8;   // machines kept at a time, fewer than a task looks at
 
+// A task that runs on for longer gives nothing back soon. Taken from shorter ones, room went round in
+// circles: the stopped tasks started elsewhere and were stopped again, and little was finished
+// (lakaskalk-grown, rough).
+constexpr double kLongRounds = 60;
+
 bool has_prefix(const std::string& key, const std::string& prefix) { return key.starts_with(prefix); }
 
 state::WriteCoalescer::Settings write_settings(const Settings& settings) {
@@ -51,6 +56,7 @@
                   autoscaler_ports()),
       replicas_({settings_.gang_wait_s, settings_.gang_peer_s, settings_.gang_wait_s}),
       kept_room_({settings_.pace_s, kKeptOverdue * settings_.begin_within_s, kKeptMost}),
+      victim_selector_(jobs_, waits_, quota_, kLongRounds * settings_.round_s),
       reachability_probe_(loop, log_,
                           {settings_.lease_s, settings_.report_s, settings_.pace_s, settings_.controllers},
                           reachability_ports()),
