--- a/src/leader/fleet.cpp
+++ b/src/leader/fleet.cpp
@@ -653,7 +653,7 @@
   std::vector<wire::MemberId> members;
   for (const auto& [member, bind] : machine->binds) members.push_back(member);
   for (const auto& member : members) unbind(*machine, member);
-  forget_record(*machine);
+  machine_groups_.remove(*machine);
   fleet_.erase(host);
   place_soon();
   plan_soon();
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -63,6 +63,14 @@
       writes_(loop, write_settings(settings_), write_service(ports_.store), *this),
       reader_(loop, ports_.store),
       strangers_(settings_.pace_s, settings_.lease_s, kStrangers),
+      machine_groups_(writes_, fleet_, record_numbers_, log_),
+      completion_bitmaps_(
+          writes_,
+          [this](const wire::JobId& id) {
+            const auto found = live_.find(id);
+            return found == live_.end() ? nullptr : found->second;
+          },
+          record_numbers_, log_),
       queue_(queue_settings(), queue_facts()),
       replicas_({settings_.gang_wait_s, settings_.gang_peer_s, settings_.gang_wait_s}),
       kept_room_({settings_.pace_s, kKeptOverdue * settings_.begin_within_s, kKeptMost}),
@@ -188,10 +196,8 @@
   writes_.clear();
   usage_.clear();
   cores_by_rank_ = {};
-  groups_.clear();
-  open_groups_.clear();
-  buckets_.clear();
-  open_buckets_.clear();
+  machine_groups_.clear();
+  completion_bitmaps_.clear();
   strangers_.clear();
   to_release_.clear();
   surplus_.clear();
@@ -207,7 +213,7 @@
   asking_ = 0;
   unanswered_ = sample_out_ = 0;
   sample_since_ = -1e9;
-  records_made_ = 0;
+  record_numbers_.begin_term(first_term_);
   raising_ = listing_ = releasing_ = false;
 }
 
@@ -229,14 +235,14 @@
         continue;
       }
       const auto& record = *parsed;
-      auto& group = groups_[name];
-      group.pool = {record.flavor, record.rack_room, record.reclaimable};
-      group.single = !wire::absent(entry.data, "address");
+      const bool fixed = !wire::absent(entry.data, "address");  // of version 0.1
+      machine_groups_.adopt(name, {record.flavor, record.rack_room, record.reclaimable}, fixed);
       bool twice = false;
       for (const auto& [host, address] : record.hosts) {
         const auto [entry_of, added] = fleet_.add(host);
         auto& machine = *entry_of;
-        // A part of a group was being moved to another (move_excess): one of the two is enough.
+        // A part of a group was being moved to another (storage/shared_records.hpp): one of the two is
+        // enough.
         if (!added) {
           twice = true;
           continue;
@@ -245,20 +251,15 @@
         machine.flavor = record.flavor;
         machine.rack_room = record.rack_room;
         machine.reclaimable = record.reclaimable;
-        machine.group = name;
         machine.up = machine.recorded = machine.recording = machine.inherited = true;
         machine.first_seen = machine.last_contact = machine.idle_since = now;
         machine.lease.renewed(now);  // no earlier leader answered after the reign began
         set_size(machine);
         fleet_.refresh(machine);
-        group.hosts.insert(host);
-        group.bytes += wire::group_bytes(host, address);
+        machine_groups_.adopt_machine(name, machine);
         inherited.push_back(&machine);
       }
-      if (twice) {
-        drop_if_empty(key);
-        store_group(name, FlushDelay::garbage);
-      }
+      if (twice) machine_groups_.rewrite(name);
     } else if (has_prefix(key, wire::kRentals)) {
       auto record =
           ports_.store.parsed(key, entry.stamp, [&entry] { return wire::parse_rental_record(entry.data); });
@@ -303,29 +304,25 @@
     // The bucket may have been written before the job's own record: no exit is left that would end it.
     if (job.finished == job.spec.members) write_done(job, {});
     if (single) {
-      homes.insert(bucket_for(job, id.chunk));
+      homes.insert(completion_bitmaps_.record_of(job, id.chunk));
       continue;
     }
-    // A chunk has one home: of two, while some were being moved (move_excess), the first.
+    // A chunk has one home: of two, while some were being moved (storage/shared_records.hpp), the first.
     if (const auto home = job.buckets.find(id.chunk); home != job.buckets.end()) {
       homes.insert(home->second);
       continue;
     }
-    const auto number = own_number;
-    auto& bucket = buckets_[number];
-    bucket.chunks.insert(id);
-    bucket.bytes += wire::chunk_bytes(job.spec.members, id.chunk);
-    job.buckets[id.chunk] = number;
+    completion_bitmaps_.adopt(own_number, job, id.chunk);
   }
   if (homes.empty()) {
-    if (single || !buckets_.contains(own_number))
+    if (single || !completion_bitmaps_.contains(own_number))
       writes_.store(key, std::nullopt, FlushDelay::garbage);  // its jobs are over
     return true;
   }
   // Written there first: what stood here may be the newer part.
   const auto left = std::make_shared<std::size_t>(homes.size());
   for (const auto home : homes)
-    store_bucket(home, FlushDelay::exits, [this, key, left] {
+    completion_bitmaps_.store(home, FlushDelay::exits, [this, key, left] {
       if (--*left == 0) writes_.store(key, std::nullopt, FlushDelay::garbage);
     });
   return true;
@@ -418,7 +415,7 @@
   if (reigning_) {
     replicas_.leave(job.spec.uid);
     stop_all(job);
-    leave_buckets(job);
+    completion_bitmaps_.remove(job);
     plan_soon();
   }
   // It needs no marks any more; its specification stays for tasks still to be stopped.
@@ -613,8 +610,7 @@
       fleet_.refresh(machine);
     }
     // Kept in the state service too: a restart during a cloud outage can still decide.
-    const auto values =
-        wire::stored_catalogue(flavors_, writes_.value_limit(), (first_term_ << 20) + ++records_made_);
+    const auto values = wire::stored_catalogue(flavors_, writes_.value_limit(), record_numbers_.next());
     for (const auto& [key, value] : values) writes_.store(key, value, FlushDelay::garbage);
     // Parts that are no longer of it.
     for (auto entry = view_.entries().lower_bound(wire::kCatalogueParts);
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -35,6 +35,9 @@
 #include "state/reader.hpp"
 #include "state/store.hpp"
 #include "state/write_coalescer.hpp"
+#include "storage/completion_bitmaps.hpp"
+#include "storage/machine_groups.hpp"
+#include "storage/record_numbers.hpp"
 
 namespace bankhill::leader {
 
@@ -128,20 +131,6 @@
     double service_cores = 0;  // the part of it that services use
   };
   using Then = std::function<void()>;
-  struct Shared {  // a key that many share
-    std::size_t bytes = 0;
-    // A part of it is being written under other keys: until that is committed this one is not written.
-    bool moving = false;
-    std::vector<Then> held;  // wait for its next write
-  };
-  struct Group : Shared {  // machines recorded under one key
-    model::Pool pool;
-    std::set<wire::HostId> hosts;
-    bool single = false;  // of version 0.1, holds one machine for good
-  };
-  struct Bucket : Shared {  // finished tasks stored under one key
-    std::set<wire::ChunkId> chunks;
-  };
   struct Awaiting {  // a report whose answer waits for the placement under way
     wire::HostId host;
     std::uint64_t counter = 0;
@@ -212,20 +201,8 @@
   void apply_committed(const state::Change& change) override;
   void after_commit() override;
   const model::Job* recorded_job(const std::string& key) const;  // whose record this key holds
-
-  // Groups and buckets are rendered when they are written.
-  void store_group(const std::string& group, state::FlushDelay delay, Then then = {});
-  void store_bucket(std::uint64_t bucket, state::FlushDelay delay, Then then = {});
-  void render(const std::string& key, state::PendingWrite& write) const;
-  std::size_t shared_bytes() const;
-  bool drop_if_empty(const std::string& key);
-  bool move_excess(const std::string& key, state::PendingWrite& write);
   void drop_stray(const std::string& key);
-  Shared* shared(const std::string& key);
-  std::uint64_t bucket_for(model::Job& job, std::uint32_t chunk);
-  std::uint64_t open_bucket(const wire::ChunkId& id, std::size_t size);
-  void open_group(model::Machine& machine);
-  void leave_buckets(model::Job& job);
+  bool is_stray(const std::string& key) const;
 
   // Machines and their reports (reports.cpp)
   void meet(const wire::Report& report);
@@ -234,7 +211,6 @@
   void came_back(model::Machine& machine);
   void undated(model::Machine& machine, const wire::Report& report, const net::RulingReply& reply);
   void record(model::Machine& machine);
-  void forget_record(model::Machine& machine);
   // `by`: the sibling that the report came through, empty for none; nothing for a direct answer.
   bool apply(model::Machine& machine, const wire::Report& report, const std::string* by);
   bool apply_brief(model::Machine& machine, const wire::Report& report, std::uint64_t base,
@@ -390,11 +366,9 @@
   double reserve_cores_ = 0;        // of steady machines: kept free of batches for services to come
   double largest_service_ = 0;      // cores of one task
   double service_cores_ = 0;        // that services use
-  std::map<std::string, Group> groups_;
-  std::map<Pool, std::set<std::string>> open_groups_;
-  std::map<std::uint64_t, Bucket> buckets_;
-  std::set<std::uint64_t> open_buckets_;
-  std::uint64_t records_made_ = 0;
+  storage::RecordNumbers record_numbers_;
+  storage::MachineGroups machine_groups_;
+  storage::CompletionBitmaps completion_bitmaps_;
   std::deque<wire::HostId> to_ask_;  // recorded machines that this reign has not asked yet
   std::size_t asking_ = 0;
   std::vector<Awaiting> awaiting_;
--- a/src/leader/reports.cpp
+++ b/src/leader/reports.cpp
@@ -561,7 +561,8 @@
   note(job);
   ++tally_["tasks done"];
   if (job.finished < job.spec.members)
-    return store_bucket(bucket_for(job, index / wire::kFinishedChunk), FlushDelay::exits, std::move(then));
+    return completion_bitmaps_.store(completion_bitmaps_.record_of(job, index / wire::kFinishedChunk),
+                                     FlushDelay::exits, std::move(then));
   log_->debug("job {}: all {} tasks done, {:.1f} s after acceptance ({} guessed {:.1f} s each)",
               job.spec.uid.value, job.spec.members, loop().wall() - job.accepted_at, job.spec.queue,
               job.spec.guess_s);
--- /dev/null
+++ b/src/storage/completion_bitmaps.cpp
@@ -0,0 +1,78 @@
+#include "storage/completion_bitmaps.hpp"
+
+#include <cstdlib>
+
+#include "wire/records.hpp"
+
+namespace bankhill::storage {
+
+namespace {
+std::size_t bytes_of(const model::Job& job, std::uint32_t chunk) {
+  return wire::chunk_bytes(job.spec.members, chunk);
+}
+}  // namespace
+
+std::optional<std::uint64_t> CompletionBitmaps::number_of(const std::string& key) {
+  if (!key.starts_with(wire::kFinished)) return std::nullopt;
+  const auto name = key.substr(wire::kFinished.size());
+  if (name.find('/') != std::string::npos) return std::nullopt;  // of version 0.1: only ever deleted
+  return std::stoull(name);
+}
+
+bool CompletionBitmaps::is_dropped(const std::string& key) const {
+  if (!key.starts_with(wire::kFinished)) return false;
+  // Not number_of: a key that another program wrote need not be a number.
+  const auto number = std::strtoull(key.substr(wire::kFinished.size()).c_str(), nullptr, 10);
+  return RecordNumbers::term_of(number) == numbers_.term() && key == wire::finished_key(number) &&
+         !contains(number);
+}
+
+std::uint64_t CompletionBitmaps::record_of(model::Job& job, std::uint32_t chunk) {
+  const auto known = job.buckets.find(chunk);
+  if (known != job.buckets.end()) return known->second;
+  const auto number = add({}, {job.spec.uid, chunk}, bytes_of(job, chunk));
+  job.buckets.emplace(chunk, number);
+  return number;
+}
+
+void CompletionBitmaps::adopt(std::uint64_t number, model::Job& job, std::uint32_t chunk) {
+  hold(make(number), {job.spec.uid, chunk}, bytes_of(job, chunk));
+  job.buckets[chunk] = number;
+}
+
+void CompletionBitmaps::remove(model::Job& job) {
+  for (const auto& [chunk, number] : job.buckets) {
+    auto& record = make(number);
+    SharedRecords::remove(record, {job.spec.uid, chunk}, bytes_of(job, chunk));
+    if (record.moving) continue;
+    if (record.bytes < record_limit() / 2) open(number, record);
+    if (drop_if_empty(number)) store(number, state::FlushDelay::garbage);
+  }
+  job.buckets.clear();
+}
+
+std::optional<wire::Json> CompletionBitmaps::render(const Record& record) const {
+  wire::FinishedBucket stored;
+  for (const auto& id : record.items)
+    if (const auto* job = find_live_job_(id.job))
+      stored.emplace(id, wire::finished_hex(job->marks, id.chunk, model::kDone));
+  if (stored.empty()) return std::nullopt;
+  return to_json(stored);
+}
+
+std::optional<std::size_t> CompletionBitmaps::item_bytes(const wire::ChunkId& id) const {
+  const auto* job = find_live_job_(id.job);
+  if (job == nullptr) return std::nullopt;
+  return bytes_of(*job, id.chunk);
+}
+
+std::optional<std::uint64_t> CompletionBitmaps::relocate(const wire::ChunkId& id, const std::uint64_t& from) {
+  auto* job = find_live_job_(id.job);
+  if (job == nullptr) return std::nullopt;
+  const auto home = job->buckets.find(id.chunk);
+  if (home == job->buckets.end() || home->second != from) return std::nullopt;
+  home->second = add({}, id, bytes_of(*job, id.chunk));
+  return home->second;
+}
+
+}  // namespace bankhill::storage
--- /dev/null
+++ b/src/storage/machine_groups.cpp
@@ -0,0 +1,80 @@
+#include "storage/machine_groups.hpp"
+
+#include "wire/records.hpp"
+
+namespace bankhill::storage {
+
+namespace {
+std::size_t bytes_of(const model::Machine& machine) {
+  return wire::group_bytes(machine.host, machine.address);
+}
+}  // namespace
+
+std::optional<std::string> MachineGroups::name_of(const std::string& key) {
+  if (!key.starts_with(wire::kMachines)) return std::nullopt;
+  return key.substr(wire::kMachines.size());
+}
+
+bool MachineGroups::is_dropped(const std::string& key) const {
+  const auto name = name_of(key);
+  return name && name->starts_with(std::to_string(numbers_.term()) + "-") && !contains(*name);
+}
+
+std::string MachineGroups::new_name() {
+  return std::to_string(numbers_.term()) + "-" + std::to_string(numbers_.next_in_term());
+}
+
+void MachineGroups::put_into_group(model::Machine& machine) {
+  const model::Pool pool{machine.flavor, machine.rack_room, machine.reclaimable};
+  machine.group = SharedRecords::add(pool, machine.host, bytes_of(machine));
+}
+
+void MachineGroups::add(model::Machine& machine, state::WriteCallback callback) {
+  put_into_group(machine);
+  store(machine.group, state::FlushDelay::machines, std::move(callback));
+}
+
+void MachineGroups::remove(const model::Machine& machine) {
+  // A copy: what drops the group must not change it meanwhile.
+  const std::string name = machine.group;
+  auto* group = find(name);
+  if (group == nullptr) return;
+  SharedRecords::remove(*group, machine.host, bytes_of(machine));
+  if (!group->fixed && !group->moving && group->bytes < record_limit()) open(name, *group);
+  store(name, state::FlushDelay::removal);
+  if (!group->moving) drop_if_empty(name);
+}
+
+void MachineGroups::adopt(const std::string& name, const model::Pool& pool, bool fixed) {
+  auto& group = make(name);
+  group.pool = pool;
+  group.fixed = fixed;
+}
+
+void MachineGroups::adopt_machine(const std::string& name, model::Machine& machine) {
+  machine.group = name;
+  hold(make(name), machine.host, bytes_of(machine));
+}
+
+std::optional<wire::Json> MachineGroups::render(const Record& record) const {
+  wire::MachineGroupRecord stored{record.pool.flavor, record.pool.rack_room, record.pool.reclaimable, {}};
+  for (const auto& machine_id : record.items)
+    if (const auto* machine = fleet_.peek(machine_id)) stored.hosts.emplace(machine_id, machine->address);
+  if (stored.hosts.empty()) return std::nullopt;
+  return to_json(stored);
+}
+
+std::optional<std::size_t> MachineGroups::item_bytes(const wire::HostId& machine_id) const {
+  const auto* machine = fleet_.peek(machine_id);
+  if (machine == nullptr) return std::nullopt;
+  return bytes_of(*machine);
+}
+
+std::optional<std::string> MachineGroups::relocate(const wire::HostId& machine_id, const std::string& from) {
+  auto* machine = fleet_.find(machine_id);
+  if (machine == nullptr || machine->group != from) return std::nullopt;
+  put_into_group(*machine);
+  return machine->group;
+}
+
+}  // namespace bankhill::storage
