--- a/src/leader/fleet.cpp
+++ b/src/leader/fleet.cpp
@@ -188,7 +188,7 @@
   std::vector<wire::MemberId> tasks;
   for (const auto& [task, assignment] : machine->binds) tasks.push_back(task);
   for (const auto& task : tasks) unbind(*machine, task);
-  forget_record(*machine);
+  machine_groups_.remove(*machine);
   fleet_.erase(machine_id);
   place_soon();
   plan_soon();
--- a/src/leader/placement.cpp
+++ b/src/leader/placement.cpp
@@ -308,7 +308,7 @@
   double steady_free = 0;
   for (const auto& [pool, state] : fleet_.pools())
     if (!pool.reclaimable) steady_free += state.sums.free_cores;
-  return steady_free - job.spec.need.cores < reserve_cores_ - kRounding;
+  return steady_free - job.spec.need.cores < autoscaler_.reserved_cores() - kRounding;
 }
 
 // The job's next task found no machine: says why, and may make one drain or stop other tasks for it.
