--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -341,9 +341,10 @@
   autoscaler.drain_if_excess(machine);
   ASSERT_TRUE(machine.draining);
   add_job(4);
+  const double planned_at = loop.now();
   plan();
   EXPECT_FALSE(machine.draining);
-  EXPECT_EQ(machine.idle_since, loop.now());
+  EXPECT_EQ(machine.idle_since, planned_at);
   EXPECT_TRUE(requests.empty());
   EXPECT_EQ(events["surplus machines wanted again"], 1);
 }
--- a/tests/protocol_text_test.cpp
+++ b/tests/protocol_text_test.cpp
@@ -304,14 +304,14 @@
     return Response{200, "{}", std::nullopt};
   };
   std::optional<std::uint64_t> lease;
-  std::optional<bool> renewed;
+  std::optional<state::protocol::LeaseRenewal> renewed;
   std::optional<state::Entry> entry;
   std::optional<state::CommitResult> result;
   store.tell(state::OpenLease{12.5, [&](std::optional<std::uint64_t> opened) { lease = opened; }});
-  store.tell(state::TouchLease{91, 1, [&](std::optional<bool> touched) { renewed = touched; }});
+  store.tell(state::TouchLease{91, 1, [&](state::protocol::LeaseRenewal touched) { renewed = touched; }});
   store.tell(state::EndLease{92});
-  store.tell(
-      state::Fetch{"bankhill/job/job-1", [&](bool, std::optional<state::Entry> read) { entry = read; }});
+  store.tell(state::Fetch{"bankhill/job/job-1",
+                          [&](const state::protocol::KeyAnswer& read) { entry = read.entry; }});
   state::Transaction transaction;
   transaction.when = {{"bankhill/term", {41}}};
   transaction.writes = {{"bankhill/leader", Json{{"a", 2}}, 91},
@@ -319,7 +319,7 @@
   store.tell(state::Commit{std::move(transaction), [&](state::CommitResult done) { result = done; }});
   ASSERT_TRUE(until([&] { return lease && renewed && entry && result; }));
   EXPECT_EQ(lease, 91U);
-  EXPECT_EQ(renewed, false);
+  EXPECT_EQ(renewed, state::protocol::LeaseRenewal::ended);
   EXPECT_EQ(entry->data.dump(), R"({"a":1})");
   EXPECT_EQ(entry->stamp.value, 17U);
   EXPECT_EQ(result->outcome, state::Outcome::conflict);
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -1,7 +1,7 @@
 // Records that many machines or tasks share, over a write coalescer and nothing else.
 #include <gtest/gtest.h>
 
-#include "hand_loop.hpp"
+#include "manual_loop.hpp"
 #include "storage/completion_bitmaps.hpp"
 #include "storage/machine_groups.hpp"
 
@@ -83,7 +83,7 @@
     return [&calls] { ++calls; };
   }
 
-  HandLoop loop;
+  test_support::ManualLoop loop;
   state::View stored;
   std::vector<Commit> commits;
   std::size_t answered = 0;
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -586,13 +586,17 @@
   const std::vector<gateway::TeamLimit> teams{{"vision", {100, 100, 0}}};
   auto spec = parse_job(Json::parse(kFullJob));
   spec.need.accelerators = 1.5;
+  const auto told = [&] {
+    const auto reason = gateway::refusal(spec, teams, types);
+    return reason ? gateway::explain({*reason, {}}) : std::string();
+  };
   EXPECT_FALSE(gateway::refusal(spec, teams, types));
   spec.need.ram_gb = 65;
-  EXPECT_EQ(gateway::refusal(spec, teams, types), "a task fits no allowed machine type");
+  EXPECT_EQ(told(), "a task fits no allowed machine type");
   spec.need.cores = 101;
-  EXPECT_EQ(gateway::refusal(spec, teams, types), "needs more than the team's limit");
+  EXPECT_EQ(told(), "needs more than the team's limit");
   spec.owner = "speech";
-  EXPECT_EQ(gateway::refusal(spec, teams, types), "unknown team");
+  EXPECT_EQ(told(), "unknown team");
 }
 
 }  // namespace
