--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -52,12 +52,12 @@
       1 - settings.own.worker_sockets - settings.own.user_sockets - settings.own.direct_sockets;
   net::EvhttpClient client(loop, log, std::max(kServiceSockets, settings.share_of_sockets(rest / 2)));
   net::EvhttpClient to_workers(loop, log, settings.share_of_sockets(settings.own.direct_sockets));
-  std::vector<net::Sibling> siblings;
-  for (const auto& sibling : settings.siblings) siblings.push_back({sibling.host_name, sibling.addr});
-  net::PeerLink peers(loop, log, settings.host_name, incarnation, settings.peer_listen, siblings,
-                      settings.pace_s);
+  std::vector<net::Peer> peer_addresses;
+  for (const auto& peer : settings.peers) peer_addresses.push_back({peer.host_name, peer.addr});
+  net::PeerLink peers(loop, log, settings.host_name, incarnation, settings.peer_listen, peer_addresses,
+                      settings.control_interval_s);
   app::Node node(loop, log, settings, incarnation, client, to_workers, peers);
-  // Workers and users may be silent between requests for several report intervals.
+  // Workers and users may be silent between requests for several heartbeat intervals.
   net::EvhttpServer server(
       loop, log, settings.api_addr, settings.lease_s,
       {settings.share_of_sockets(settings.own.worker_sockets),
@@ -127,8 +127,8 @@
 
 int check_settings(const app::Settings& settings) {
   if (const auto tenant = app::too_large_tenant(settings))
-    throw app::BadSettings("operator settings: the policy of team '" + *tenant +
-                           "' takes more than one value of the state service");
+    throw app::SettingsError("operator settings: the policy of team '" + *tenant +
+                             "' takes more than one value of the state service");
   std::cout << settings.cancel_budget().describe() << "\n";
   if (settings.policy) std::cout << settings.policy->describe(wall_now());
   std::cout << "settings are fine\n";
@@ -153,9 +153,9 @@
     return command(line);
   } catch (const UsageError& error) {
     return failed(error, kExitSettings);
-  } catch (const app::BadSettings& error) {
+  } catch (const app::SettingsError& error) {
     return failed(error, kExitSettings);
-  } catch (const wire::Malformed& error) {
+  } catch (const wire::ProtocolError& error) {
     return failed(error, kExitSettings);
   } catch (const std::exception& error) {
     return failed(error, kExitFailure);
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -11,20 +11,20 @@
   leader::Settings result;
   result.node = settings.host_name;
   result.incarnation = incarnation;
-  result.report_s = settings.report_s;
-  result.pace_s = settings.pace_s;
+  result.heartbeat_interval_s = settings.heartbeat_interval_s;
+  result.control_interval_s = settings.control_interval_s;
   result.lease_s = settings.lease_s;
   result.read_age_s = settings.cancel_budget().read_age_s();
   result.gang_wait_s = settings.gang_wait_s;
   result.gang_peer_s = settings.gang_peer_s;
-  result.span = settings.span;
-  if (!result.span)
-    result.span = [&policy](const std::string& owner, const std::string& queue) {
-      return policy.span(owner, queue);
+  result.replica_span = settings.span;
+  if (!result.replica_span)
+    result.replica_span = [&policy](const std::string& team, const std::string& job_class) {
+      return policy.span(team, job_class);
     };
   result.list_lag_s = settings.list_lag_s;
   result.controllers = settings.controllers;
-  result.most_machines = settings.most_machines();
+  result.max_machines = settings.max_machines();
   result.main_zone = settings.main_zone;
   result.txn_ops = settings.state_txn_ops;
   result.value_kb = settings.state_value_kb;
@@ -34,7 +34,7 @@
   result.deadline_times = settings.deadline_times;
   result.alpha = settings.own.alpha;
   result.phi = settings.own.phi;
-  result.round_s = settings.own.round_paces * settings.pace_s;
+  result.round_s = settings.own.round_intervals * settings.control_interval_s;
   result.idle_boots = settings.own.idle_boots;
   result.begin_within_s = settings.own.begin_within_s;
   result.largest_share = settings.own.largest_share;
@@ -49,56 +49,57 @@
 
 std::vector<std::string> names(const Settings& settings) {
   std::vector<std::string> result;
-  for (const auto& sibling : settings.siblings) result.push_back(sibling.host_name);
+  for (const auto& peer : settings.peers) result.push_back(peer.host_name);
   return result;
 }
 
 }  // namespace
 
 Node::Node(runtime::Loop& loop, const runtime::Log& log, const Settings& settings, std::uint64_t incarnation,
-           net::Client& client, net::Client& workers, net::PeerPort& peers)
+           net::Client& client, net::Client& workers, net::PeerTransport& peers)
     : spread_workers_(settings.own.spread_workers),
       store_(loop, client, log, settings.state,
-             {settings.state_rps, settings.state_write_rps, settings.state_value_kb, settings.state_txn_ops,
-              settings.controllers}),
-      follower_(loop, log, store_, settings.policy, settings.pace_s),
-      cloud_(loop, client, log, settings.cloud, settings.cloud_rps),
-      relay_(loop, names(settings), settings.pace_s / 6,
+             {settings.state_requests_per_s, settings.state_writes_per_s, settings.state_value_kb,
+              settings.state_txn_ops, settings.controllers}),
+      follower_(loop, log, store_, settings.policy, settings.control_interval_s),
+      cloud_(loop, client, log, settings.cloud, settings.cloud_requests_per_s),
+      relay_(loop, names(settings), settings.control_interval_s / 6,
              {peers,
               [this](net::Request request, net::Reply reply) {
                 route(std::move(request), std::move(reply), true);
               },
               [this] {
-                return wire::Beat{leader_.term(), gateway_.state_ok(), leader_.valid(),
-                                  spread_workers_ ? wire::kFeatureDelegation : std::uint8_t{0}};
+                return wire::PeerStatus{
+                    leader_.term(), gateway_.state_ok(), leader_.may_act(),
+                    spread_workers_ ? wire::kFeatureHeartbeatForwarding : std::uint8_t{0}};
               },
               [this] { return desk_.load(); },
-              [this](wire::Progress progress) { gateway_.tell(gateway::Progressed{std::move(progress)}); },
+              [this](wire::JobProgress progress) { gateway_.tell(gateway::Progressed{std::move(progress)}); },
               [this](const std::string& node, wire::Frame frame) {
-                desk_.tell(workers::FromSibling{node, std::move(frame)});
+                desk_.tell(heartbeat::PeerMessage{node, std::move(frame)});
               }}),
       elector_(
           loop, store_, log, settings.host_name, incarnation,
           election::timing_from(settings.cancel_budget().leader_ttl_s()),
-          [this](election::Validity validity) {
-            leader_.tell(leader::Valid{validity.hold, validity.until});
+          [this](election::LeaseValidity validity) {
+            leader_.tell(leader::LeaseGranted{validity.lease_id, validity.until});
           },
-          [this] { return relay_.any_sibling(); }),
+          [this] { return relay_.any_peer(); }),
       leader_(loop, log, leader_settings(settings, incarnation, follower_.policy()),
               {store_, cloud_, workers, [this] { elector_.tell(election::RaiseTerm{}); },
-               [this] { elector_.tell(election::Resign{}); }, [this] { return relay_.any_sibling(); },
-               [this](wire::Progress progress) {
+               [this] { elector_.tell(election::Resign{}); }, [this] { return relay_.any_peer(); },
+               [this](wire::JobProgress progress) {
                  gateway_.tell(gateway::Progressed{progress});
                  relay_.tell(net::Broadcast{std::move(progress)});
                }}),
       desk_(loop, log,
-            {settings.host_name, settings.zone, settings.report_s, settings.pace_s,
+            {settings.host_name, settings.zone, settings.heartbeat_interval_s, settings.control_interval_s,
              static_cast<double>(settings.share_of_sockets(settings.own.worker_sockets)),
              settings.own.spread_workers},
-            {relay_, peers, [this] { return leader_.valid(); },
-             [this](wire::Report report, std::uint64_t base, net::RulingReply reply, net::Via via,
-                    const std::string& by) {
-               leader_.tell(leader::Reported{std::move(report), base, std::move(reply), via, by});
+            {relay_, peers, [this] { return leader_.may_act(); },
+             [this](wire::Heartbeat heartbeat, std::uint64_t base, net::HeartbeatReply reply,
+                    net::HeartbeatRoute via, const std::string& by) {
+               leader_.tell(leader::HeartbeatReceived{std::move(heartbeat), base, std::move(reply), via, by});
              }}),
       gateway_(loop, log, store_, relay_, follower_.policy(), limits(settings),
                settings.own.final_states_kept) {
@@ -109,7 +110,7 @@
   store_.subscribe([this](const state::Changes& changes) { follower_.tell(policy::Changed{changes}); });
   store_.subscribe([this](const state::Changes& changes) { elector_.tell(election::Changed{changes}); });
   store_.subscribe([this](const state::Changes& changes) { leader_.tell(leader::Changed{changes}); });
-  store_.subscribe([this](const state::Changes& changes) { desk_.tell(workers::Changed{changes}); });
+  store_.subscribe([this](const state::Changes& changes) { desk_.tell(heartbeat::Changed{changes}); });
   store_.subscribe([this](const state::Changes& changes) { gateway_.tell(gateway::Changed{changes}); });
 }
 
@@ -125,9 +126,9 @@
 void Node::route(net::Request request, net::Reply reply, bool relayed) {
   if (request.path == "/v1/report") {
     if (request.method != net::Method::post) return reply({405, "{}", std::nullopt});
-    return desk_.tell(workers::ReportCall{std::move(request), std::move(reply), relayed});
+    return desk_.tell(heartbeat::HeartbeatRequest{std::move(request), std::move(reply), relayed});
   }
-  gateway_.tell(gateway::UserCall{std::move(request), std::move(reply), relayed});
+  gateway_.tell(gateway::UserRequest{std::move(request), std::move(reply), relayed});
 }
 
 }  // namespace bankhill::app
--- a/src/app/node.hpp
+++ b/src/app/node.hpp
@@ -7,13 +7,13 @@
 #include "cloud/cloud.hpp"
 #include "election/elector.hpp"
 #include "gateway/gateway.hpp"
+#include "heartbeat/heartbeat_endpoint.hpp"
 #include "leader/leader.hpp"
 #include "net/http.hpp"
 #include "net/relay.hpp"
-#include "policy/follower.hpp"
+#include "policy/policy_watcher.hpp"
 #include "runtime/loop.hpp"
 #include "state/store.hpp"
-#include "workers/desk.hpp"
 
 namespace bankhill::app {
 
@@ -22,11 +22,11 @@
  public:
   // `client` asks the state service and the cloud, `workers` the workers.
   Node(runtime::Loop& loop, const runtime::Log& log, const Settings& settings, std::uint64_t incarnation,
-       net::Client& client, net::Client& workers, net::PeerPort& peers);
+       net::Client& client, net::Client& workers, net::PeerTransport& peers);
   void start();
   // Serves a request of a user, a worker or the load balancer.
   void handle(net::Request request, net::Reply reply) { route(std::move(request), std::move(reply), false); }
-  bool leading() const { return leader_.valid(); }
+  bool leading() const { return leader_.may_act(); }
   std::uint64_t term() const { return leader_.term(); }
   const policy::Policy& policy() const { return follower_.policy(); }
   // As this controller would decide on it; nothing: not known.
@@ -37,12 +37,12 @@
 
   bool spread_workers_;
   state::Store store_;
-  policy::Follower follower_;
+  policy::PolicyWatcher follower_;
   cloud::Cloud cloud_;
   net::Relay relay_;
   election::Elector elector_;
   leader::Leader leader_;
-  workers::Desk desk_;
+  heartbeat::HeartbeatEndpoint desk_;
   gateway::Gateway gateway_;
 };
 
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -20,8 +20,8 @@
 
 namespace {
 
-constexpr double kPacesInLease = 14;
-constexpr double kMostShared = 0.95;  // of the sockets
+constexpr double kControlIntervalsPerLease = 14;
+constexpr double kMaxSharedSockets = 0.95;  // of the sockets
 // Where the platform does not say: in leases.
 constexpr double kGangWait = 1.5;
 constexpr double kGangPeer = 0.25;
@@ -76,7 +76,7 @@
 
 std::string main_zone(const Settings& settings) {
   std::map<std::string, std::size_t> count{{settings.zone, 1}};
-  for (const auto& sibling : settings.siblings) ++count[sibling.zone];
+  for (const auto& peer : settings.peers) ++count[peer.zone];
   std::string best;
   std::size_t most = 0;
   for (const auto& [zone, controllers] : count) {
@@ -94,10 +94,10 @@
   settings.api_addr = address(root, "api_addr");
   settings.peer_listen = address(root, "peer_listen");
   for (const auto& item : list(root, "siblings"))
-    settings.siblings.push_back({wire::text_field(item, "host_name"),
-                                 wire::absent(item, "zone") ? "" : wire::text_field(item, "zone"),
-                                 address(item, "addr")});
-  settings.controllers = settings.siblings.size() + 1;
+    settings.peers.push_back({wire::text_field(item, "host_name"),
+                              wire::absent(item, "zone") ? "" : wire::text_field(item, "zone"),
+                              address(item, "addr")});
+  settings.controllers = settings.peers.size() + 1;
   settings.main_zone = main_zone(settings);
 }
 
@@ -142,10 +142,11 @@
 }
 
 void read_workers(const Json& workers, Settings& settings) {
-  settings.report_s = positive(workers, "report_s");
+  settings.heartbeat_interval_s = positive(workers, "report_s");
   settings.lease_s = positive(workers, "lease_s");
   settings.cancel_s = positive(workers, "cancel_s");
-  settings.pace_s = std::min(settings.report_s, settings.lease_s / kPacesInLease);
+  settings.control_interval_s =
+      std::min(settings.heartbeat_interval_s, settings.lease_s / kControlIntervalsPerLease);
   const auto or_leases = [&](const char* name, double leases) {
     const double value = amount_or_zero(workers, name);
     return value > 0 ? value : leases * settings.lease_s;
@@ -164,14 +165,14 @@
     const double now = positive(state, name);
     return wire::absent(next, name) ? now : std::min(now, positive(next, name));
   };
-  settings.state_rps = smaller("rps");
-  settings.state_write_rps = smaller("write_rps");
+  settings.state_requests_per_s = smaller("rps");
+  settings.state_writes_per_s = smaller("write_rps");
   settings.state_value_kb = smaller("value_kb");
   settings.state_txn_ops = std::max<std::size_t>(1, static_cast<std::size_t>(smaller("txn_ops")));
 }
 
 void read_cloud_limits(const Json& cloud, Settings& settings) {
-  settings.cloud_rps = positive(cloud, "rps");
+  settings.cloud_requests_per_s = positive(cloud, "rps");
   settings.list_lag_s = wire::amount_field(cloud, "list_lag_s");
 }
 
@@ -216,7 +217,8 @@
 constexpr OperatorKey kOperatorKeys[] = {
     {"alpha", 0, 1, [](OperatorSettings& own, double value) { own.alpha = value; }},
     {"phi", 0, 1, [](OperatorSettings& own, double value) { own.phi = value; }},
-    {"round_paces", 1, kMostRoundPaces, [](OperatorSettings& own, double value) { own.round_paces = value; }},
+    {"round_paces", 1, kMostRoundPaces,
+     [](OperatorSettings& own, double value) { own.round_intervals = value; }},
     {"idle_boots", 0, kMostIdleBoots, [](OperatorSettings& own, double value) { own.idle_boots = value; }},
     {"final_states_kept", kLeastFinalStates, kMostFinalStates,
      [](OperatorSettings& own, double value) { own.final_states_kept = static_cast<std::size_t>(value); }},
@@ -245,8 +247,8 @@
 }
 
 void check_socket_shares(const OperatorSettings& own) {
-  if (own.worker_sockets + own.user_sockets + own.direct_sockets > kMostShared)
-    throw BadSettings(
+  if (own.worker_sockets + own.user_sockets + own.direct_sockets > kMaxSharedSockets)
+    throw SettingsError(
         "operator settings: worker_sockets, user_sockets and direct_sockets leave less than a "
         "twentieth of the sockets");
 }
@@ -264,36 +266,38 @@
 }  // namespace
 
 SettingsFieldError::SettingsFieldError(std::string field, std::string problem)
-    : BadSettings("settings: field '" + field + "' " + problem),
+    : SettingsError("settings: field '" + field + "' " + problem),
       field_(std::move(field)),
       problem_(std::move(problem)) {}
 
 OperatorKeyError::OperatorKeyError(std::string key, Problem problem)
-    : BadSettings(text_of_key_error(key, problem)), key_(std::move(key)), problem_(problem) {}
+    : SettingsError(text_of_key_error(key, problem)), key_(std::move(key)), problem_(problem) {}
 
 FileError::FileError(std::string path, std::error_code reason)
-    : BadSettings("cannot read " + path), path_(std::move(path)), reason_(reason) {}
+    : SettingsError("cannot read " + path), path_(std::move(path)), reason_(reason) {}
 
 std::size_t Settings::share_of_sockets(double part) const {
   return static_cast<std::size_t>(std::max(1.0, part * static_cast<double>(sockets)));
 }
 
-std::size_t Settings::most_machines() const {
+std::size_t Settings::max_machines() const {
   return static_cast<std::size_t>(kWorkersAConnection *
                                   static_cast<double>(share_of_sockets(own.worker_sockets) * controllers));
 }
 
-model::CancelBudget Settings::cancel_budget() const { return {lease_s, cancel_s, net::kWorkerWaitS}; }
+model::CancellationBound Settings::cancel_budget() const {
+  return {lease_s, cancel_s, net::kWorkerResponseTimeoutS};
+}
 
 Settings parse_settings(const std::string& json_text) {
   try {
     return parse(wire::parse_object(json_text));
   } catch (const wire::FieldError& error) {
     throw SettingsFieldError(error.field(), error.problem());
-  } catch (const wire::Malformed& error) {
-    throw BadSettings(std::string("settings: ") + error.what());
+  } catch (const wire::ProtocolError& error) {
+    throw SettingsError(std::string("settings: ") + error.what());
   } catch (const Json::exception& error) {
-    throw BadSettings(std::string("settings: ") + error.what());
+    throw SettingsError(std::string("settings: ") + error.what());
   }
 }
 
@@ -302,14 +306,14 @@
   try {
     const YAML::Node root = YAML::Load(yaml_text);
     if (root.IsNull()) return own;
-    if (!root.IsMap()) throw BadSettings("operator settings: not a map");
+    if (!root.IsMap()) throw SettingsError("operator settings: not a map");
     for (const auto& entry : root) {
       const auto name = entry.first.as<std::string>();
       if (name != kTenantsKey) set_operator_key(name, entry.second, own);
     }
     check_socket_shares(own);
   } catch (const YAML::Exception& error) {
-    throw BadSettings(std::string("operator settings: ") + error.what());
+    throw SettingsError(std::string("operator settings: ") + error.what());
   }
   return own;
 }
@@ -319,18 +323,18 @@
   policy::Site site;
   for (const auto& team : settings.teams) site.teams.insert(team.name);
   site.classes = settings.classes;
-  site.most_machines = settings.most_machines();
+  site.most_machines = settings.max_machines();
   try {
     settings.policy = policy::parse_policy(yaml_text, site);
-  } catch (const policy::BadPolicy& error) {
-    throw BadSettings(error.what());
+  } catch (const policy::PolicyError& error) {
+    throw SettingsError(error.what());
   }
 }
 
 std::optional<std::string> too_large_tenant(const Settings& settings) {
   if (!settings.policy) return std::nullopt;
-  for (const auto& [owner, tenant] : settings.policy->tenants())
-    if (wire::stored_bytes(to_json(tenant)) > wire::usable_bytes(settings.state_value_kb)) return owner;
+  for (const auto& [team, tenant] : settings.policy->tenants())
+    if (wire::stored_bytes(to_json(tenant)) > wire::usable_bytes(settings.state_value_kb)) return team;
   return std::nullopt;
 }
 
--- a/src/calendar/outlook.cpp
+++ b/src/calendar/deadline_forecast.cpp
@@ -1,4 +1,4 @@
-#include "calendar/outlook.hpp"
+#include "calendar/deadline_forecast.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -18,17 +18,17 @@
   return 10 * step;
 }
 
-std::string text_of(Outlook::State state, double core_h) {
+std::string text_of(DeadlineForecast::State state, double core_h) {
   char text[64];
   switch (state) {
-    case Outlook::State::on_time:
+    case DeadlineForecast::State::on_time:
       return "on time";
-    case Outlook::State::tight:
+    case DeadlineForecast::State::tight:
       return "tight";
-    case Outlook::State::short_of:
+    case DeadlineForecast::State::short_of:
       std::snprintf(text, sizeof text, "short by %g core-hours", core_h);
       return text;
-    case Outlook::State::missed:
+    case DeadlineForecast::State::missed:
       std::snprintf(text, sizeof text, "missed, %g core-hours are left", core_h);
       return text;
   }
@@ -36,25 +36,26 @@
 }
 }  // namespace
 
-void Outlook::begin(double now) {
+void DeadlineForecast::begin(double now) {
   now_ = now;
   left_.clear();
 }
 
-void Outlook::add(const std::string& owner, double cutoff, double core_s, double task_s) {
-  auto& left = left_[{owner, cutoff}];
+void DeadlineForecast::add(const std::string& team, double cutoff, double core_s, double task_s) {
+  auto& left = left_[{team, cutoff}];
   left.core_s += core_s;
   if (now_ + task_s > cutoff) left.late_core_s += core_s;
 }
 
-std::vector<Outlook::Told> Outlook::end(const std::function<Supply(const std::string& owner)>& supply) {
+std::vector<DeadlineForecast::ForecastChange> DeadlineForecast::end(
+    const std::function<Supply(const std::string& team)>& supply) {
   std::map<Key, Known> found;
   double sum = 0;  // of this tenant's work until this cutoff: what is due earlier goes first
-  const std::string* owner = nullptr;
+  const std::string* team = nullptr;
   Supply cores;
   for (const auto& [key, left] : left_) {
-    if (owner == nullptr || *owner != key.first) {
-      owner = &key.first;
+    if (team == nullptr || *team != key.first) {
+      team = &key.first;
       cores = supply(key.first);
       sum = 0;
     }
@@ -75,7 +76,7 @@
     known.text = text_of(known.state, known.short_core_h);
     found.emplace(key, std::move(known));
   }
-  std::vector<Told> changed;
+  std::vector<ForecastChange> changed;
   for (const auto& [key, known] : found) {
     const auto before = told_.find(key);
     if (before == told_.end() || before->second != known)
@@ -85,9 +86,9 @@
   return changed;
 }
 
-const std::string& Outlook::reason(const std::string& owner, double cutoff) const {
+const std::string& DeadlineForecast::reason(const std::string& team, double cutoff) const {
   static const std::string kNone;
-  const auto known = told_.find({owner, cutoff});
+  const auto known = told_.find({team, cutoff});
   return known == told_.end() || known->second.state == State::on_time ? kNone : known->second.text;
 }
 
--- a/src/calendar/outlook.hpp
+++ b/src/calendar/deadline_forecast.hpp
@@ -10,7 +10,7 @@
 
 namespace bankhill::calendar {
 
-class Outlook {
+class DeadlineForecast {
  public:
   enum class State { on_time, tight, short_of, missed };
   // Of a tenant's cores, for its batches.
@@ -19,7 +19,7 @@
     double most = 0;    // that it can have in all; infinite: as many as it takes
     double more_s = 0;  // until more than now are there
   };
-  struct Told {  // what has changed
+  struct ForecastChange {  // what has changed
     std::string owner;
     double cutoff = 0;
     State state = State::on_time;
@@ -28,10 +28,10 @@
 
   // Each look begins anew, takes the unfinished work of every job with a cutoff, and ends with what changed.
   void begin(double now);
-  void add(const std::string& owner, double cutoff, double core_s, double task_s);
-  std::vector<Told> end(const std::function<Supply(const std::string& owner)>& supply);
+  void add(const std::string& team, double cutoff, double core_s, double task_s);
+  std::vector<ForecastChange> end(const std::function<Supply(const std::string& team)>& supply);
   // Nothing to be told: empty.
-  const std::string& reason(const std::string& owner, double cutoff) const;
+  const std::string& reason(const std::string& team, double cutoff) const;
   void clear() { told_.clear(); }
 
  private:
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -32,7 +32,7 @@
                guard([this, done = std::move(message.done)](const Response& response) {
                  if (response.status != 200) return done(std::nullopt);
                  try {
-                   done(wire::parse_flavors(wire::parse_object(response.body)));
+                   done(wire::parse_machine_types(wire::parse_object(response.body)));
                  } catch (const std::exception& error) {
                    log_->error("cloud: catalogue cannot be read: {}", error.what());
                    done(std::nullopt);
@@ -43,9 +43,9 @@
 void Cloud::on(Rent& message) {
   if (!allowed(0)) return message.done({});
   const Json body{{"rental", message.name},
-                  {"flavor", message.rental.flavor},
-                  {"rack_room", message.rental.rack_room},
-                  {"reclaimable", message.rental.reclaimable},
+                  {"flavor", message.rental.machine_type},
+                  {"rack_room", message.rental.zone},
+                  {"reclaimable", message.rental.preemptible},
                   {"count", message.rental.count}};
   client_.send(address_, {Method::post, "/machines", body.dump()}, kAnswerS,
                guard([this, done = std::move(message.done)](const Response& response) {
@@ -53,33 +53,33 @@
                }));
 }
 
-Rented Cloud::read_rented(const Response& response) {
-  Rented rented;
+RentalResult Cloud::read_rented(const Response& response) {
+  RentalResult rented;
   const Json answer = Json::parse(response.body, nullptr, false);
   if (response.status == 200 && answer.is_object() && answer.contains("hosts")) {
-    rented.kind = Rented::Kind::hosts;
-    for (const auto& host : answer["hosts"]) rented.hosts.push_back({host.get<std::string>()});
+    rented.status = RentalResult::Status::granted;
+    for (const auto& host : answer["hosts"]) rented.machines.push_back({host.get<std::string>()});
   } else if (response.status == 503 && answer.is_object() && answer.value("error", "") == "no capacity") {
-    rented.kind = Rented::Kind::no_capacity;
+    rented.status = RentalResult::Status::no_capacity;
   } else if (response.status == 400) {
     log_->error("cloud: rental refused as malformed: {}", response.body);
   }
   return rented;
 }
 
-void Cloud::on(Release& message) {
+void Cloud::on(Terminate& message) {
   if (!allowed(0)) return message.done(false);
   Json hosts = Json::array();
-  for (const auto& host : message.hosts) hosts.push_back(host.value);
+  for (const auto& host : message.machines) hosts.push_back(host.value);
   client_.send(
       address_, {Method::post, "/machines/release", Json{{"hosts", std::move(hosts)}}.dump()}, kAnswerS,
       guard([done = std::move(message.done)](const Response& response) { done(response.status == 200); }));
 }
 
-void Cloud::on(ListHosts& message) { list_page("", {}, std::move(message.done)); }
+void Cloud::on(ListMachines& message) { list_page("", {}, std::move(message.done)); }
 
-void Cloud::list_page(std::string after, std::vector<wire::ListedHost> so_far,
-                      std::function<void(std::optional<std::vector<wire::ListedHost>>)> done) {
+void Cloud::list_page(std::string after, std::vector<wire::ListedMachine> so_far,
+                      std::function<void(std::optional<std::vector<wire::ListedMachine>>)> done) {
   if (!allowed(kReserve * rps_)) {
     // Rentals and releases go first; a list of many pages is not begun anew for that.
     page_timer_ = loop().after(1 / rps_, guard([this, after = std::move(after), so_far = std::move(so_far),
@@ -95,10 +95,10 @@
       guard([this, so_far = std::move(so_far), done = std::move(done)](const Response& response) mutable {
         if (response.status != 200) return done(std::nullopt);
         try {
-          auto page = wire::parse_host_page(wire::parse_object(response.body));
-          for (auto& host : page.hosts) so_far.push_back(std::move(host));
-          if (!page.has_next || page.hosts.empty()) return done(std::move(so_far));
-          auto last = so_far.back().uid.value;
+          auto page = wire::parse_machine_page(wire::parse_object(response.body));
+          for (auto& machine_id : page.machines) so_far.push_back(std::move(machine_id));
+          if (!page.has_next || page.machines.empty()) return done(std::move(so_far));
+          auto last = so_far.back().id.value;
           list_page(std::move(last), std::move(so_far), std::move(done));
         } catch (const std::exception& error) {
           log_->error("cloud: list cannot be read: {}", error.what());
--- a/src/cloud/cloud.hpp
+++ b/src/cloud/cloud.hpp
@@ -15,48 +15,48 @@
 namespace bankhill::cloud {
 
 // What a rental request came to.
-struct Rented {
-  enum class Kind { hosts, no_capacity, trouble } kind = Kind::trouble;
-  std::vector<wire::HostId> hosts;
+struct RentalResult {
+  enum class Status { granted, no_capacity, failed } status = Status::failed;
+  std::vector<wire::MachineId> machines;
 };
 
-constexpr std::size_t kMaxRelease = 100;
-constexpr std::uint32_t kMaxRental = 50;
-constexpr std::size_t kPage = 500;    // hosts of one page of the list
+constexpr std::size_t kMaxTerminations = 100;
+constexpr std::uint32_t kMaxMachinesPerRental = 50;
+constexpr std::size_t kPage = 500;    // machines of one page of the list
 constexpr double kLeastChargeS = 60;  // the protocol: a machine that is terminated costs at least this
 
 // Messages.
 struct GetCatalogue {
-  std::function<void(std::optional<std::vector<wire::Flavor>>)> done;
+  std::function<void(std::optional<std::vector<wire::MachineType>>)> done;
 };
 struct Rent {
   std::string name;
   wire::RentalRecord rental;
-  std::function<void(Rented)> done;
+  std::function<void(RentalResult)> done;
 };
-struct Release {
-  std::vector<wire::HostId> hosts;
+struct Terminate {
+  std::vector<wire::MachineId> machines;
   std::function<void(bool gone)> done;
 };
-struct ListHosts {
-  std::function<void(std::optional<std::vector<wire::ListedHost>>)> done;
+struct ListMachines {
+  std::function<void(std::optional<std::vector<wire::ListedMachine>>)> done;
 };
 
 // Sends requests to the cloud within its limit.
-class Cloud : public runtime::Actor<Cloud, GetCatalogue, Rent, Release, ListHosts> {
+class Cloud : public runtime::Actor<Cloud, GetCatalogue, Rent, Terminate, ListMachines> {
  public:
   Cloud(runtime::Loop& loop, net::Client& client, runtime::Log log, std::string address, double rps);
 
   void on(GetCatalogue& message);
   void on(Rent& message);
-  void on(Release& message);
-  void on(ListHosts& message);
+  void on(Terminate& message);
+  void on(ListMachines& message);
 
  private:
   bool allowed(double reserve);
-  Rented read_rented(const net::Response& response);
-  void list_page(std::string after, std::vector<wire::ListedHost> so_far,
-                 std::function<void(std::optional<std::vector<wire::ListedHost>>)> done);
+  RentalResult read_rented(const net::Response& response);
+  void list_page(std::string after, std::vector<wire::ListedMachine> so_far,
+                 std::function<void(std::optional<std::vector<wire::ListedMachine>>)> done);
 
   net::Client& client_;
   runtime::Log log_;
--- a/src/election/elector.hpp
+++ b/src/election/elector.hpp
@@ -1,5 +1,5 @@
 // Leadership: a persistent term counter and a leader key on a lease, raised and taken in one transaction.
-// The term is the fence that workers see.
+// The term is the fencing token that workers see.
 #pragma once
 
 #include <functional>
@@ -19,12 +19,12 @@
   double drift = 0.001;  // steady clocks may differ by half of this, each way
 };
 
-// Of a lease with this time-to-live (model/cancel_budget.hpp).
+// Of a lease with this time-to-live (model/cancellation_bound.hpp).
 Timing timing_from(double ttl_s);
 
 // Until when this controller may act as the holder of `hold`, on its own steady clock.
-struct Validity {
-  std::uint64_t hold = 0;
+struct LeaseValidity {
+  std::uint64_t lease_id = 0;
   double until = 0;
 };
 
@@ -39,7 +39,7 @@
 class Elector : public runtime::Actor<Elector, Changed, RaiseTerm, Resign> {
  public:
   Elector(runtime::Loop& loop, state::Store& store, runtime::Log log, std::string node,
-          std::uint64_t incarnation, Timing timing, std::function<void(Validity)> on_validity,
+          std::uint64_t incarnation, Timing timing, std::function<void(LeaseValidity)> on_validity,
           std::function<bool()> connected);
   void start();
 
@@ -48,11 +48,11 @@
   void on(Resign& message);
 
  private:
-  void consider();
+  void evaluate();
   void campaign();
-  void take(std::uint64_t hold, bool again = false);
+  void claim(std::uint64_t lease_id, bool again = false);
   void renew();
-  void lost();
+  void on_lease_lost();
   bool leading() const;
   std::optional<wire::LeaderRecord> leader() const;
   std::optional<std::uint64_t> term() const;
@@ -63,16 +63,16 @@
   std::string node_;
   std::uint64_t incarnation_;
   Timing timing_;
-  std::function<void(Validity)> on_validity_;
+  std::function<void(LeaseValidity)> on_validity_;
   std::function<bool()> connected_;
-  state::View view_;
-  std::uint64_t hold_ = 0;  // 0: no lease
+  state::StoreCache view_;
+  std::uint64_t lease_id_ = 0;  // 0: no lease
   double vacant_since_ = -1;
-  double taken_at_ = 0;  // when the transaction that is to win was sent
+  double claimed_at_ = 0;  // when the transaction that is to win was sent
   double abstain_until_ = -1;
   bool campaigning_ = false;
-  bool untaken_ = false;  // whether the transaction that is to win was not seen to be applied
-  bool raising_ = false;
+  bool claim_unconfirmed_ = false;  // whether the transaction that is to win was not seen to be applied
+  bool raising_term_ = false;
   runtime::Timer retry_;
   runtime::Timer renew_timer_;
 };
--- a/src/shares/turns.cpp
+++ b/src/fair_share/fair_share_order.cpp
@@ -1,10 +1,10 @@
-#include "shares/turns.hpp"
+#include "fair_share/fair_share_order.hpp"
 
 #include <algorithm>
 #include <cstddef>
 #include <tuple>
 
-namespace bankhill::shares {
+namespace bankhill::fair_share {
 
 namespace {
 struct Line {  // jobs in the order in which they go, and their cores together up to each
@@ -14,8 +14,8 @@
 };
 }  // namespace
 
-std::vector<double> turns(const std::vector<Waiting>& waiting, const Held& held,
-                          const std::map<std::string, double>& weights, double largest) {
+std::vector<double> fair_share_order(const std::vector<Waiting>& waiting, const Held& held,
+                                     const std::map<std::string, double>& weights, double largest) {
   double least = 0;
   for (const auto& [team, weight] : weights)
     if (weight > 0 && (least == 0 || weight < least)) least = weight;
@@ -67,4 +67,4 @@
   return result;
 }
 
-}  // namespace bankhill::shares
+}  // namespace bankhill::fair_share
--- a/src/shares/turns.hpp
+++ b/src/fair_share/fair_share_order.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-namespace bankhill::shares {
+namespace bankhill::fair_share {
 
 using Party = std::pair<std::string, std::string>;  // a team and one of its classes of jobs
 
@@ -28,7 +28,7 @@
 // team that is missing or has 0 gets the least of the others). A team's share is divided evenly among its
 // classes that wait, and of each class's share `largest` goes to its largest jobs while both they and others
 // of it wait.
-std::vector<double> turns(const std::vector<Waiting>& waiting, const Held& held,
-                          const std::map<std::string, double>& weights, double largest);
+std::vector<double> fair_share_order(const std::vector<Waiting>& waiting, const Held& held,
+                                     const std::map<std::string, double>& weights, double largest);
 
-}  // namespace bankhill::shares
+}  // namespace bankhill::fair_share
--- a/src/shares/overload.cpp
+++ b/src/fair_share/overload_detector.cpp
@@ -1,8 +1,8 @@
-#include "shares/overload.hpp"
+#include "fair_share/overload_detector.hpp"
 
-namespace bankhill::shares {
+namespace bankhill::fair_share {
 
-bool Overload::observe(double now, double wanted, double lacking) {
+bool OverloadDetector::observe(double now, double wanted, double lacking) {
   const double part = wanted > 0 ? lacking / wanted : 0;
   const bool turning = on_ ? part < settings_.end_at : part > settings_.begin_at;
   if (!turning) {
@@ -17,9 +17,9 @@
   return true;
 }
 
-void Overload::reset() {
+void OverloadDetector::reset() {
   on_ = false;
   turning_since_ = -1;
 }
 
-}  // namespace bankhill::shares
+}  // namespace bankhill::fair_share
--- a/src/shares/overload.hpp
+++ b/src/fair_share/overload_detector.hpp
@@ -2,9 +2,9 @@
 // caller's steady clock. Source: docs/SHARES.md, "Order in overload".
 #pragma once
 
-namespace bankhill::shares {
+namespace bankhill::fair_share {
 
-class Overload {
+class OverloadDetector {
  public:
   struct Settings {
     double dwell_s = 15;    // what begins or ends it must have lasted so long
@@ -12,7 +12,7 @@
     double end_at = 0.15;   // below `begin_at`
   };
 
-  explicit Overload(Settings settings) : settings_(settings) {}
+  explicit OverloadDetector(Settings settings) : settings_(settings) {}
 
   // `wanted` and `lacking` in the same unit, 0 or more. Says whether it has just begun or ended.
   bool observe(double now, double wanted, double lacking);
@@ -27,4 +27,4 @@
   double turning_since_ = -1;  // since when the opposite holds without a gap; below 0: it does not
 };
 
-}  // namespace bankhill::shares
+}  // namespace bankhill::fair_share
--- a/src/shares/bounds.cpp
+++ b/src/fair_share/quota_high_water.cpp
@@ -1,12 +1,12 @@
-#include "shares/bounds.hpp"
+#include "fair_share/quota_high_water.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-namespace bankhill::shares {
+namespace bankhill::fair_share {
 
-using wire::Amounts;
+using wire::Resources;
 
 namespace {
 constexpr double kRounding = 1e-6;
@@ -15,24 +15,24 @@
 
 // Teams' limits are of cores and accelerators; memory is not limited.
 template <class Op>
-Amounts each(const Amounts& a, const Amounts& b, Op op) {
+Resources each(const Resources& a, const Resources& b, Op op) {
   return {op(a.cores, b.cores), op(a.accelerators, b.accelerators), 0};
 }
-Amounts least(const Amounts& a, const Amounts& b) {
+Resources least(const Resources& a, const Resources& b) {
   return each(a, b, [](double x, double y) { return std::min(x, y); });
 }
-Amounts most(const Amounts& a, const Amounts& b) {
+Resources most(const Resources& a, const Resources& b) {
   return each(a, b, [](double x, double y) { return std::max(x, y); });
 }
-bool within(const Amounts& a, const Amounts& b) {
+bool within(const Resources& a, const Resources& b) {
   return a.cores <= b.cores + kRounding && a.accelerators <= b.accelerators + kRounding;
 }
-Amounts plus(const Amounts& a, const Amounts& b, double times = 1) {
+Resources plus(const Resources& a, const Resources& b, double times = 1) {
   return each(a, b, [times](double x, double y) { return x + times * y; });
 }
 }  // namespace
 
-Bounds::Bounds(const std::map<std::string, Amounts>& limits, double steps) {
+QuotaHighWater::QuotaHighWater(const std::map<std::string, Resources>& limits, double steps) {
   for (const auto& [name, limit] : limits) {
     if (!std::isfinite(limit.cores) && !std::isfinite(limit.accelerators)) continue;
     auto& team = teams_[name];
@@ -42,7 +42,7 @@
   }
 }
 
-void Bounds::begin(const std::optional<wire::BoundsRecord>& record, std::uint64_t term) {
+void QuotaHighWater::begin_term(const std::optional<wire::QuotaRecord>& record, std::uint64_t term) {
   pending_.reset();
   wanted_ = false;
   believed_ = record && record->term + 1 == term;
@@ -61,20 +61,20 @@
   }
 }
 
-void Bounds::seen(const std::string& name, const Amounts& need) {
+void QuotaHighWater::seen(const std::string& name, const Resources& request) {
   if (const auto team = teams_.find(name); team != teams_.end())
-    team->second.seen = plus(team->second.seen, need);
+    team->second.seen = plus(team->second.seen, request);
 }
 
-Amounts Bounds::unseen(const std::string& name, const Amounts& unheard) const {
+Resources QuotaHighWater::unseen(const std::string& name, const Resources& unheard) const {
   const auto team = teams_.find(name);
   if (team == teams_.end()) return {};
   return each(least(unheard, plus(team->second.inherited, team->second.seen, -1)), {},
               [](double x, double) { return std::max(0.0, x); });
 }
 
-bool Bounds::holds(const std::string& name, const Team& team, const Amounts& total,
-                   std::uint64_t term) const {
+bool QuotaHighWater::holds(const std::string& name, const Team& team, const Resources& total,
+                           std::uint64_t term) const {
   // The next leader believes a record of the last term only: until one of this term stands there, what is
   // used now binds nobody. From the moment that one may stand there it does.
   if (committed_term_ == term && !within(total, team.committed)) return false;
@@ -83,7 +83,7 @@
   return bound == pending_->teams.end() || within(total, bound->second);
 }
 
-bool Bounds::covers(const std::string& name, const Amounts& total, std::uint64_t term) {
+bool QuotaHighWater::covers(const std::string& name, const Resources& total, std::uint64_t term) {
   const auto found = teams_.find(name);
   if (found == teams_.end()) return true;
   auto& team = found->second;
@@ -95,7 +95,7 @@
   return holds(name, team, total, term);
 }
 
-Amounts Bounds::bound_for(const Team& team, const Amounts& total) const {
+Resources QuotaHighWater::bound_for(const Team& team, const Resources& total) const {
   const auto up = [](double used, double step, double limit) {
     return step <= 0 ? limit : std::min(limit, std::ceil((used + step) / step - kRounding) * step);
   };
@@ -103,14 +103,14 @@
           up(total.accelerators, team.step.accelerators, team.limit.accelerators), 0};
 }
 
-std::optional<wire::BoundsRecord> Bounds::next(const std::map<std::string, Amounts>& used, std::uint64_t term,
-                                               bool lower) {
+std::optional<wire::QuotaRecord> QuotaHighWater::next(const std::map<std::string, Resources>& used,
+                                                      std::uint64_t term, bool lower) {
   if (pending_) return std::nullopt;
   bool needed = committed_term_ != term || wanted_;
-  wire::BoundsRecord record{term, {}};
+  wire::QuotaRecord record{term, {}};
   for (auto& [name, team] : teams_) {
     const auto found = used.find(name);
-    const auto total = most(team.wanted, found == used.end() ? Amounts{} : found->second);
+    const auto total = most(team.wanted, found == used.end() ? Resources{} : found->second);
     const auto bound = bound_for(team, least(total, team.limit));
     // Lowered by two steps at least: what goes up and down a little costs no puts.
     needed = needed || (lower && !within(team.committed, plus(bound, team.step, 1)));
@@ -124,11 +124,11 @@
   return record;
 }
 
-void Bounds::written() {
+void QuotaHighWater::written() {
   if (!pending_) return;
   committed_term_ = pending_->term;
   for (auto& [name, team] : teams_) team.committed = pending_->teams[name];
   pending_.reset();
 }
 
-}  // namespace bankhill::shares
+}  // namespace bankhill::fair_share
--- a/src/shares/turned_away.cpp
+++ b/src/fair_share/retry_after_pacer.cpp
@@ -1,9 +1,9 @@
-#include "shares/turned_away.hpp"
+#include "fair_share/retry_after_pacer.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace bankhill::shares {
+namespace bankhill::fair_share {
 
 namespace {
 constexpr double kLeastS = 1;
@@ -12,7 +12,7 @@
 constexpr double kSpread = 1.5;
 }  // namespace
 
-double TurnedAway::come_back_s(double now, const std::string& name, double chance) {
+double RetryAfterPacer::retry_after_s(double now, const std::string& name, double chance) {
   // Whoever does not come here at its time came elsewhere, or gave up: counted on, the same one was waited
   // for by every controller, all were told up to 30 s, and a tenth of them gave up although puts were left.
   while (!due_.empty() && due_.begin()->first < now) served(std::string(due_.begin()->second));
@@ -27,11 +27,11 @@
   return wait_s;
 }
 
-void TurnedAway::served(const std::string& name) {
+void RetryAfterPacer::served(const std::string& name) {
   const auto found = waiting_.find(name);
   if (found == waiting_.end()) return;
   due_.erase({found->second, name});
   waiting_.erase(found);
 }
 
-}  // namespace bankhill::shares
+}  // namespace bankhill::fair_share
--- a/src/shares/turned_away.hpp
+++ b/src/fair_share/retry_after_pacer.hpp
@@ -8,19 +8,19 @@
 #include <string>
 #include <utility>
 
-namespace bankhill::shares {
+namespace bankhill::fair_share {
 
-class TurnedAway {
+class RetryAfterPacer {
  public:
   struct Settings {
     double rate = 1;     // that can be served here, a second
     double most_s = 30;  // users are told no later time than this
   };
 
-  explicit TurnedAway(Settings settings) : settings_(settings) {}
+  explicit RetryAfterPacer(Settings settings) : settings_(settings) {}
 
   // Whole seconds, 1 or more, until this one is to come back; `chance` is random, from 0 to below 1.
-  double come_back_s(double now, const std::string& name, double chance);
+  double retry_after_s(double now, const std::string& name, double chance);
   void served(const std::string& name);
   std::size_t waiting() const { return waiting_.size(); }
 
@@ -30,4 +30,4 @@
   std::set<std::pair<double, std::string>> due_;
 };
 
-}  // namespace bankhill::shares
+}  // namespace bankhill::fair_share
--- a/src/replicas/board.cpp
+++ b/src/gang/gang_tracker.cpp
@@ -1,17 +1,17 @@
-#include "replicas/board.hpp"
+#include "gang/gang_tracker.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <tuple>
 
-namespace bankhill::replicas {
+namespace bankhill::gang {
 
 namespace {
 // An image takes a third longer than its type's rate says, and several fetched at once share that rate.
 constexpr double kFetchSpread = 1.5;
 }  // namespace
 
-void Board::clear() {
+void GangTracker::clear() {
   jobs_.clear();
   halves_.clear();
   stopping_.clear();
@@ -22,19 +22,19 @@
   actions_.clear();
 }
 
-void Board::follow(const wire::JobId& job, std::uint32_t members, std::uint32_t span, double fetch_s) {
+void GangTracker::follow(const wire::JobId& job, std::uint32_t members, std::uint32_t span, double fetch_s) {
   if (span < 2) return;
   Job item;
   item.span = span;
-  item.rest = members % span;
-  item.fetch_s = fetch_s;
+  item.unusable_tasks = members % span;
+  item.image_pull_s = fetch_s;
   item.replicas.resize(members / span);
-  for (auto& replica : item.replicas) replica.members.resize(span);
+  for (auto& replica : item.replicas) replica.tasks.resize(span);
   for (std::uint32_t number = 0; number < item.replicas.size(); ++number) item.open.insert(number);
   jobs_.insert_or_assign(job, std::move(item));
 }
 
-void Board::leave(const wire::JobId& job) {
+void GangTracker::leave(const wire::JobId& job) {
   const auto found = jobs_.find(job);
   if (found == jobs_.end()) return;
   for (std::uint32_t number = 0; number < found->second.replicas.size(); ++number) {
@@ -49,43 +49,45 @@
   jobs_.erase(found);
 }
 
-std::uint32_t Board::span(const wire::JobId& job) const {
+std::uint32_t GangTracker::span(const wire::JobId& job) const {
   const auto found = jobs_.find(job);
   return found == jobs_.end() ? 1 : found->second.span;
 }
 
-std::uint32_t Board::rest(const wire::JobId& job) const {
+std::uint32_t GangTracker::unusable_tasks(const wire::JobId& job) const {
   const auto found = jobs_.find(job);
-  return found == jobs_.end() ? 0 : found->second.rest;
+  return found == jobs_.end() ? 0 : found->second.unusable_tasks;
 }
 
-Board::Replica* Board::find(const ReplicaId& id) {
+GangTracker::Replica* GangTracker::find(const ReplicaId& id) {
   const auto job = jobs_.find(id.first);
   if (job == jobs_.end() || id.second >= job->second.replicas.size()) return nullptr;
   return &job->second.replicas[id.second];
 }
 
-const Board::Replica* Board::find(const ReplicaId& id) const { return const_cast<Board*>(this)->find(id); }
+const GangTracker::Replica* GangTracker::find(const ReplicaId& id) const {
+  return const_cast<GangTracker*>(this)->find(id);
+}
 
-std::pair<ReplicaId, std::uint32_t> Board::place_of(const wire::MemberId& member) const {
-  const auto wide = span(member.job);
-  return {{member.job, member.index / wide}, member.index % wide};
+std::pair<ReplicaId, std::uint32_t> GangTracker::place_of(const wire::TaskId& task_id) const {
+  const auto wide = span(task_id.job);
+  return {{task_id.job, task_id.index / wide}, task_id.index % wide};
 }
 
 // Members that share a machine or stand in several zones, as a version that places them one by one leaves
 // them.
-bool Board::split(const Replica& replica) {
-  std::set<wire::HostId> hosts;
+bool GangTracker::split(const Replica& replica) {
+  std::set<wire::MachineId> machine_ids;
   std::set<std::string> zones;
-  for (const auto& member : replica.members) {
+  for (const auto& member : replica.tasks) {
     if (member.state == State::absent) continue;
-    if (!hosts.insert(member.spot.host).second) return true;
-    zones.insert(member.spot.zone);
+    if (!machine_ids.insert(member.placement.machine_id).second) return true;
+    zones.insert(member.placement.zone);
   }
   return zones.size() > 1;
 }
 
-void Board::enter(const ReplicaId& id, Replica& replica, Phase phase, double now) {
+void GangTracker::enter(const ReplicaId& id, Replica& replica, Phase phase, double now) {
   replica.phase = phase;
   replica.since = now;
   if (phase == Phase::starting)
@@ -100,79 +102,80 @@
 }
 
 // Brings the sets that the others are found by up to date.
-void Board::note(const ReplicaId& id, const Replica& replica) {
+void GangTracker::note(const ReplicaId& id, const Replica& replica) {
   auto& open = jobs_.at(id.first).open;
-  const auto absent = [](const Member& member) { return member.state == State::absent; };
-  const bool lacks = std::any_of(replica.members.begin(), replica.members.end(), absent);
+  const auto absent = [](const Task& member) { return member.state == State::absent; };
+  const bool lacks = std::any_of(replica.tasks.begin(), replica.tasks.end(), absent);
   if (lacks && (replica.phase == Phase::waiting || replica.phase == Phase::starting))
     open.insert(id.second);
   else
     open.erase(id.second);
-  const auto leaves = [](const Member& member) { return member.state != State::absent && member.leave; };
+  const auto leaves = [](const Task& member) { return member.state != State::absent && member.leave; };
   if (replica.phase == Phase::whole &&
-      (std::any_of(replica.members.begin(), replica.members.end(), leaves) || split(replica)))
+      (std::any_of(replica.tasks.begin(), replica.tasks.end(), leaves) || split(replica)))
     leavers_.insert(id);
   else
     leavers_.erase(id);
 }
 
-void Board::keep(const ReplicaId& id, Replica& replica, std::vector<Spot> spots) {
-  const auto has = [](const std::vector<Spot>& list, const Spot& spot) {
+void GangTracker::keep(const ReplicaId& id, Replica& replica, std::vector<Placement> spots) {
+  const auto has = [](const std::vector<Placement>& list, const Placement& spot) {
     return std::find(list.begin(), list.end(), spot) != list.end();
   };
-  for (const auto& spot : replica.kept)
-    if (!has(spots, spot)) actions_.push_back({Action::Kind::drop, id, 0, spot.host});
+  for (const auto& spot : replica.reserved)
+    if (!has(spots, spot)) actions_.push_back({Action::Kind::drop, id, 0, spot.machine_id});
   for (const auto& spot : spots)
-    if (!has(replica.kept, spot)) actions_.push_back({Action::Kind::keep, id, 0, spot.host});
-  replica.kept = std::move(spots);
-  if (replica.kept.empty())
+    if (!has(replica.reserved, spot)) actions_.push_back({Action::Kind::keep, id, 0, spot.machine_id});
+  replica.reserved = std::move(spots);
+  if (replica.reserved.empty())
     keeping_.erase(id);
   else
     keeping_.insert(id);
 }
 
-void Board::leave_hold(const ReplicaId& id, double now) {
+void GangTracker::leave_hold(const ReplicaId& id, double now) {
   if (holder_ != id) return;
   holder_.reset();
   held_last_ = id;
   held_until_ = now;
 }
 
-void Board::order_stops(const ReplicaId& id, Replica& replica, double now) {
+void GangTracker::order_stops(const ReplicaId& id, Replica& replica, double now) {
   replica.stopped_at = now;
-  for (std::uint32_t i = 0; i < replica.members.size(); ++i) {
-    const auto& member = replica.members[i];
+  for (std::uint32_t i = 0; i < replica.tasks.size(); ++i) {
+    const auto& member = replica.tasks[i];
     if (member.state == State::absent) continue;
-    const auto index = id.second * static_cast<std::uint32_t>(replica.members.size()) + i;
-    actions_.push_back({Action::Kind::stop, id, index, member.spot.host});
+    const auto index = id.second * static_cast<std::uint32_t>(replica.tasks.size()) + i;
+    actions_.push_back({Action::Kind::stop, id, index, member.placement.machine_id});
   }
 }
 
 // Its members count for nothing alone. Where they are the weights are: that room is kept for it for a while.
-void Board::stop(const ReplicaId& id, Replica& replica, bool keep_room, double now) {
+void GangTracker::stop(const ReplicaId& id, Replica& replica, bool keep_room, double now) {
   if (replica.phase == Phase::stopping) return;
-  std::vector<Spot> spots;
+  std::vector<Placement> spots;
   order_stops(id, replica, now);
-  for (const auto& member : replica.members) {
+  for (const auto& member : replica.tasks) {
     if (member.state == State::absent) continue;
-    if (keep_room && !member.leave && !replica.avoid.contains(member.spot.host)) spots.push_back(member.spot);
+    if (keep_room && !member.leave && !replica.avoid.contains(member.placement.machine_id))
+      spots.push_back(member.placement);
   }
   // Places that were found for a move hold what all need.
   if (!replica.on_move) {
     leave_hold(id, now);
     keep(id, replica, std::move(spots));
-    replica.kept_until = now + settings_.wait_s;
+    replica.reserved_until = now + settings_.wait_s;
   }
   enter(id, replica, Phase::stopping, now);
   settle(id, replica, now);
 }
 
-void Board::settle(const ReplicaId& id, Replica& replica, double now) {
-  const auto absent = [](const Member& member) { return member.state == State::absent; };
-  const auto runs = [](const Member& member) { return member.state == State::running; };
-  if (replica.phase == Phase::stopping && std::all_of(replica.members.begin(), replica.members.end(), absent))
+void GangTracker::settle(const ReplicaId& id, Replica& replica, double now) {
+  const auto absent = [](const Task& member) { return member.state == State::absent; };
+  const auto runs = [](const Task& member) { return member.state == State::running; };
+  if (replica.phase == Phase::stopping && std::all_of(replica.tasks.begin(), replica.tasks.end(), absent))
     return enter(id, replica, Phase::waiting, now);
-  if (replica.phase == Phase::starting && std::all_of(replica.members.begin(), replica.members.end(), runs)) {
+  if (replica.phase == Phase::starting && std::all_of(replica.tasks.begin(), replica.tasks.end(), runs)) {
     replica.avoid.clear();
     replica.hold_s = 0;
     replica.on_move = false;
@@ -183,13 +186,13 @@
   note(id, replica);
 }
 
-void Board::found(const wire::MemberId& member, const Spot& spot, double now) {
-  const auto [id, place] = place_of(member);
+void GangTracker::found(const wire::TaskId& task_id, const Placement& spot, double now) {
+  const auto [id, place] = place_of(task_id);
   auto* replica = find(id);
   if (replica == nullptr) return;
-  replica->members[place] = {State::sent, spot, false, false};
+  replica->tasks[place] = {State::sent, spot, false, false};
   if (replica->phase == Phase::stopping) {
-    actions_.push_back({Action::Kind::stop, id, member.index, spot.host});
+    actions_.push_back({Action::Kind::stop, id, task_id.index, spot.machine_id});
     return;
   }
   if (replica->phase == Phase::waiting) {
@@ -202,38 +205,38 @@
   note(id, *replica);
 }
 
-void Board::running(const wire::MemberId& member, double now) {
-  const auto [id, place] = place_of(member);
+void GangTracker::running(const wire::TaskId& task_id, double now) {
+  const auto [id, place] = place_of(task_id);
   auto* replica = find(id);
-  if (replica == nullptr || replica->members[place].state != State::sent) return;
-  replica->members[place].state = State::running;
+  if (replica == nullptr || replica->tasks[place].state != State::sent) return;
+  replica->tasks[place].state = State::running;
   settle(id, *replica, now);
 }
 
-void Board::gone(const wire::MemberId& member, double now) {
-  const auto [id, place] = place_of(member);
+void GangTracker::gone(const wire::TaskId& task_id, double now) {
+  const auto [id, place] = place_of(task_id);
   auto* replica = find(id);
-  if (replica == nullptr || replica->members[place].state == State::absent) return;
-  replica->members[place] = {};
+  if (replica == nullptr || replica->tasks[place].state == State::absent) return;
+  replica->tasks[place] = {};
   if (replica->phase == Phase::stopping)
     settle(id, *replica, now);
   else
     stop(id, *replica, true, now);
 }
 
-void Board::failing(const wire::MemberId& member, double now) {
-  const auto [id, place] = place_of(member);
+void GangTracker::failing(const wire::TaskId& task_id, double now) {
+  const auto [id, place] = place_of(task_id);
   auto* replica = find(id);
-  if (replica == nullptr || replica->members[place].state == State::absent) return;
-  replica->members[place].leave = true;
+  if (replica == nullptr || replica->tasks[place].state == State::absent) return;
+  replica->tasks[place].leave = true;
   stop(id, *replica, true, now);
 }
 
-void Board::must_leave(const wire::MemberId& member, bool taken, double now) {
-  const auto [id, place] = place_of(member);
+void GangTracker::must_leave(const wire::TaskId& task_id, bool taken, double now) {
+  const auto [id, place] = place_of(task_id);
   auto* replica = find(id);
-  if (replica == nullptr || replica->members[place].state == State::absent) return;
-  auto& there = replica->members[place];
+  if (replica == nullptr || replica->tasks[place].state == State::absent) return;
+  auto& there = replica->tasks[place];
   there.leave = true;
   there.taken = there.taken || taken;
   // One that does not serve yet loses nothing.
@@ -241,40 +244,40 @@
   note(id, *replica);
 }
 
-void Board::may_stay(const wire::MemberId& member) {
-  const auto [id, place] = place_of(member);
+void GangTracker::may_stay(const wire::TaskId& task_id) {
+  const auto [id, place] = place_of(task_id);
   auto* replica = find(id);
   if (replica == nullptr) return;
-  replica->members[place].leave = replica->members[place].taken = false;
+  replica->tasks[place].leave = replica->tasks[place].taken = false;
   note(id, *replica);
 }
 
-void Board::started(const Want& want, const std::vector<Spot>& spots, double now) {
+void GangTracker::started(const PlacementRequest& want, const std::vector<Placement>& spots, double now) {
   auto* replica = find(want.id);
   if (replica == nullptr) return;
-  const auto wide = static_cast<std::uint32_t>(replica->members.size());
-  for (std::size_t i = 0; i < want.members.size(); ++i)
-    replica->members[want.members[i] % wide] = {State::sent, spots[i], false, false};
+  const auto wide = static_cast<std::uint32_t>(replica->tasks.size());
+  for (std::size_t i = 0; i < want.tasks.size(); ++i)
+    replica->tasks[want.tasks[i] % wide] = {State::sent, spots[i], false, false};
   leave_hold(want.id, now);
   keep(want.id, *replica, {});
   replica->on_move = false;
   // One that was found half is completed within the time that began when it was found.
   if (replica->phase != Phase::starting || replica->deadline < 0)
-    replica->deadline = now + settings_.wait_s + kFetchSpread * jobs_.at(want.id.first).fetch_s;
+    replica->deadline = now + settings_.wait_s + kFetchSpread * jobs_.at(want.id.first).image_pull_s;
   enter(want.id, *replica, Phase::starting, now);
 }
 
-void Board::moving(const ReplicaId& id, const std::vector<Spot>& spots, double now) {
+void GangTracker::moving(const ReplicaId& id, const std::vector<Placement>& spots, double now) {
   auto* replica = find(id);
   if (replica == nullptr || replica->phase != Phase::whole) return;
   keep(id, *replica, spots);
-  replica->kept_until = now + settings_.wait_s;
+  replica->reserved_until = now + settings_.wait_s;
   replica->on_move = true;
   replica->moved_at = now;
   stop(id, *replica, true, now);
 }
 
-bool Board::hold(const ReplicaId& id, const std::vector<Spot>& partial, double now) {
+bool GangTracker::reserve_partial(const ReplicaId& id, const std::vector<Placement>& partial, double now) {
   auto* replica = find(id);
   if (replica == nullptr || replica->phase != Phase::waiting) return false;
   // One at a time: two that each keep a part of what the other lacks would wait for each other.
@@ -289,65 +292,65 @@
     // Longer each time in vain: what it waits for may take long to end.
     replica->hold_s =
         std::clamp(2 * replica->hold_s, settings_.wait_s, settings_.longest_hold * settings_.wait_s);
-    replica->kept_until = now + replica->hold_s;
+    replica->reserved_until = now + replica->hold_s;
   }
   replica->on_move = false;
   keep(id, *replica, partial);
   return true;
 }
 
-void Board::evict(const ReplicaId& id, double now) {
+void GangTracker::evict(const ReplicaId& id, double now) {
   auto* replica = find(id);
   if (replica == nullptr || replica->phase == Phase::waiting) return;
   replica->not_before = now + settings_.wait_s;
   stop(id, *replica, false, now);
 }
 
-void Board::look(double now) {
+void GangTracker::look(double now) {
   if (holder_) {
     const auto* replica = find(*holder_);
-    if (replica == nullptr || now >= replica->kept_until) leave_hold(ReplicaId(*holder_), now);
+    if (replica == nullptr || now >= replica->reserved_until) leave_hold(ReplicaId(*holder_), now);
   }
-  // An order may be lost, and a report be longer than the peers have.
+  // An order may be lost, and a heartbeat be longer than the peers have.
   for (const auto& id : stopping_)
     if (auto* replica = find(id); now >= replica->stopped_at + settings_.peer_s / 2)
       order_stops(id, *replica, now);
   for (const auto& id : std::set<ReplicaId>(keeping_)) {
     auto* replica = find(id);
-    if (replica == nullptr || now < replica->kept_until) continue;
+    if (replica == nullptr || now < replica->reserved_until) continue;
     replica->on_move = false;
     keep(id, *replica, {});
   }
 }
 
 // One that is not whole in time is stopped, and goes where it did not fail to start.
-void Board::judge(const ReplicaId& id, double now) {
+void GangTracker::judge(const ReplicaId& id, double now) {
   auto* replica = find(id);
   if (replica == nullptr || replica->phase != Phase::starting) return;
   // One that was placed member by member and then lost some cannot be completed.
   if (replica->deadline < 0 && split(*replica)) return stop(id, *replica, true, now);
   if (replica->deadline < 0)
-    replica->deadline = now + settings_.wait_s + kFetchSpread * jobs_.at(id.first).fetch_s;
+    replica->deadline = now + settings_.wait_s + kFetchSpread * jobs_.at(id.first).image_pull_s;
   if (now < replica->deadline) return;
-  for (const auto& member : replica->members)
-    if (member.state == State::sent) replica->avoid.insert(member.spot.host);
+  for (const auto& member : replica->tasks)
+    if (member.state == State::sent) replica->avoid.insert(member.placement.machine_id);
   // Where it fails everywhere, nowhere is better than where it was.
-  if (replica->avoid.size() > 4 * replica->members.size()) replica->avoid.clear();
+  if (replica->avoid.size() > 4 * replica->tasks.size()) replica->avoid.clear();
   stop(id, *replica, true, now);
 }
 
-std::vector<Want> Board::wants(const wire::JobId& job, std::size_t most, double now) const {
-  std::vector<Want> result;
+std::vector<PlacementRequest> GangTracker::wants(const wire::JobId& job, std::size_t most, double now) const {
+  std::vector<PlacementRequest> result;
   const auto found = jobs_.find(job);
   if (found == jobs_.end()) return result;
   std::vector<std::pair<std::size_t, std::uint32_t>> order;
   for (const auto number : found->second.open) {
     const auto& replica = found->second.replicas[number];
     if (now < replica.not_before) continue;
-    const auto there = std::count_if(replica.members.begin(), replica.members.end(),
-                                     [](const Member& member) { return member.state != State::absent; });
+    const auto there = std::count_if(replica.tasks.begin(), replica.tasks.end(),
+                                     [](const Task& member) { return member.state != State::absent; });
     // One that is half there comes first: its members count for nothing until it is whole.
-    order.emplace_back(replica.members.size() - static_cast<std::size_t>(there) - replica.kept.size(),
+    order.emplace_back(replica.tasks.size() - static_cast<std::size_t>(there) - replica.reserved.size(),
                        number);
   }
   const auto count = std::min(most, order.size());
@@ -355,30 +358,30 @@
   order.resize(count);
   for (const auto& [lacks, number] : order) {
     const auto& replica = found->second.replicas[number];
-    Want want{{job, number}, {}, replica.kept, {}, {}, replica.avoid};
-    for (std::uint32_t i = 0; i < replica.members.size(); ++i) {
-      const auto& member = replica.members[i];
+    PlacementRequest want{{job, number}, {}, replica.reserved, {}, {}, replica.avoid};
+    for (std::uint32_t i = 0; i < replica.tasks.size(); ++i) {
+      const auto& member = replica.tasks[i];
       if (member.state == State::absent) {
-        want.members.push_back(number * found->second.span + i);
+        want.tasks.push_back(number * found->second.span + i);
         continue;
       }
-      want.peers.insert(member.spot.host);
-      want.zone = member.spot.zone;
+      want.peers.insert(member.placement.machine_id);
+      want.zone = member.placement.zone;
     }
     result.push_back(std::move(want));
   }
   return result;
 }
 
-std::vector<Move> Board::moves(double now) const {
+std::vector<Move> GangTracker::moves(double now) const {
   std::vector<Move> result;
   std::map<wire::JobId, std::size_t> chosen;
   for (const auto& id : leavers_) {
     const auto* replica = find(id);
     const auto& job = jobs_.at(id.first);
-    const bool taken =
-        std::any_of(replica->members.begin(), replica->members.end(),
-                    [](const Member& member) { return member.state != State::absent && member.taken; });
+    const bool taken = std::any_of(replica->tasks.begin(), replica->tasks.end(), [](const Task& member) {
+      return member.state != State::absent && member.taken;
+    });
     // What the cloud takes ends anyway. All else waits for its turn, and the last whole one stays.
     if (!taken) {
       const auto serving = whole(id.first) - chosen[id.first];
@@ -388,20 +391,20 @@
       if (now < replica->moved_at + settings_.again_s || out >= most || serving <= 1) continue;
     }
     // Of one that is split those stay that are in the zone of most, on machines of their own.
-    std::map<std::string, std::set<wire::HostId>> hosts;
-    for (const auto& member : replica->members)
-      if (!member.leave) hosts[member.spot.zone].insert(member.spot.host);
-    const auto zone = std::max_element(hosts.begin(), hosts.end(), [](const auto& a, const auto& b) {
-      return a.second.size() < b.second.size();
-    });
+    std::map<std::string, std::set<wire::MachineId>> machine_ids;
+    for (const auto& member : replica->tasks)
+      if (!member.leave) machine_ids[member.placement.zone].insert(member.placement.machine_id);
+    const auto zone =
+        std::max_element(machine_ids.begin(), machine_ids.end(),
+                         [](const auto& a, const auto& b) { return a.second.size() < b.second.size(); });
     Move move{id, {}, {}};
-    for (std::uint32_t i = 0; i < replica->members.size(); ++i) {
-      const auto& member = replica->members[i];
-      if (!member.leave && zone != hosts.end() && member.spot.zone == zone->first &&
-          zone->second.erase(member.spot.host) > 0)
-        move.staying.push_back(member.spot);
+    for (std::uint32_t i = 0; i < replica->tasks.size(); ++i) {
+      const auto& member = replica->tasks[i];
+      if (!member.leave && zone != machine_ids.end() && member.placement.zone == zone->first &&
+          zone->second.erase(member.placement.machine_id) > 0)
+        move.staying.push_back(member.placement);
       else
-        move.leaving.push_back(id.second * job.span + i);
+        move.leaving_tasks.push_back(id.second * job.span + i);
     }
     ++chosen[id.first];
     result.push_back(std::move(move));
@@ -409,18 +412,18 @@
   return result;
 }
 
-bool Board::leaving(const wire::JobId& job) const {
+bool GangTracker::leaving(const wire::JobId& job) const {
   const auto first = leavers_.lower_bound({job, 0});
   return first != leavers_.end() && first->first == job;
 }
 
-std::optional<Phase> Board::phase(const ReplicaId& id) const {
+std::optional<Phase> GangTracker::phase(const ReplicaId& id) const {
   const auto* replica = find(id);
   if (replica == nullptr) return std::nullopt;
   return replica->phase;
 }
 
-std::size_t Board::whole(const wire::JobId& job) const {
+std::size_t GangTracker::whole(const wire::JobId& job) const {
   const auto found = jobs_.find(job);
   if (found == jobs_.end()) return 0;
   return static_cast<std::size_t>(
@@ -428,4 +431,4 @@
                     [](const Replica& replica) { return replica.phase == Phase::whole; }));
 }
 
-}  // namespace bankhill::replicas
+}  // namespace bankhill::gang
--- a/src/replicas/board.hpp
+++ b/src/gang/gang_tracker.hpp
@@ -13,7 +13,7 @@
 
 #include "wire/ids.hpp"
 
-namespace bankhill::replicas {
+namespace bankhill::gang {
 
 // The number of a replica in its job: members number * span to number * span + span - 1.
 using ReplicaId = std::pair<wire::JobId, std::uint32_t>;
@@ -25,10 +25,10 @@
   stopping,  // told to stop; starts again as one when all are gone
 };
 
-struct Spot {  // where a member is or is to be
-  wire::HostId host;
+struct Placement {  // where a member is or is to be
+  wire::MachineId machine_id;
   std::string zone;
-  bool operator==(const Spot&) const = default;
+  bool operator==(const Placement&) const = default;
 };
 
 // What the caller is to do, in this order.
@@ -40,29 +40,29 @@
   };
   Kind kind = Kind::stop;
   ReplicaId replica;
-  std::uint32_t member = 0;  // of `stop`
-  wire::HostId host;         // of `keep` and `drop`
+  std::uint32_t task = 0;      // of `stop`
+  wire::MachineId machine_id;  // of `keep` and `drop`
   bool operator==(const Action&) const = default;
 };
 
 // A replica that is to be placed: all of these members at once, or none.
-struct Want {
+struct PlacementRequest {
   ReplicaId id;
-  std::vector<std::uint32_t> members;  // that are on no machine
-  std::vector<Spot> kept;              // room that is kept for it
-  std::set<wire::HostId> peers;        // machines that its other members are on
-  std::string zone;                    // that its other members are in; empty if there are none
-  std::set<wire::HostId> avoid;        // machines that a member did not come to run on
+  std::vector<std::uint32_t> tasks;  // that are on no machine
+  std::vector<Placement> reserved;   // room that is kept for it
+  std::set<wire::MachineId> peers;   // machines that its other members are on
+  std::string zone;                  // that its other members are in; empty if there are none
+  std::set<wire::MachineId> avoid;   // machines that a member did not come to run on
 };
 
 // A whole replica that is to go elsewhere, with the members that may not stay where they are.
 struct Move {
   ReplicaId id;
-  std::vector<std::uint32_t> leaving;
-  std::vector<Spot> staying;  // on machines of their own, in one zone
+  std::vector<std::uint32_t> leaving_tasks;
+  std::vector<Placement> staying;  // on machines of their own, in one zone
 };
 
-class Board {
+class GangTracker {
  public:
   struct Settings {
     double wait_s = 45;    // a replica that is not whole in this time is stopped (beside its image's fetch)
@@ -72,7 +72,7 @@
     double longest_hold = 8;  // times `wait_s`: room is kept for one that waits, longer each time, up to this
   };
 
-  explicit Board(Settings settings) : settings_(settings) {}
+  explicit GangTracker(Settings settings) : settings_(settings) {}
   void clear();
 
   // A job whose tasks make replicas of `span` members; `fetch_s` is what its image takes at most.
@@ -82,24 +82,24 @@
   bool follows(const wire::JobId& job) const { return jobs_.contains(job); }
   std::uint32_t span(const wire::JobId& job) const;  // 1 if it is not followed
   // Members that make no replica: they stay queued.
-  std::uint32_t rest(const wire::JobId& job) const;
+  std::uint32_t unusable_tasks(const wire::JobId& job) const;
 
   // Events.
   // Found on a machine, from the time of an earlier leader; `running` or still on its way.
-  void found(const wire::MemberId& member, const Spot& spot, double now);
-  void running(const wire::MemberId& member, double now);
-  void gone(const wire::MemberId& member, double now);
+  void found(const wire::TaskId& task_id, const Placement& spot, double now);
+  void running(const wire::TaskId& task_id, double now);
+  void gone(const wire::TaskId& task_id, double now);
   // It will end, or is taken for lost, or stops by itself: its peers need not go on.
-  void failing(const wire::MemberId& member, double now);
+  void failing(const wire::TaskId& task_id, double now);
   // Its machine is to be left; `taken`: the cloud takes it, the others of its job may go at the same time.
-  void must_leave(const wire::MemberId& member, bool taken, double now);
-  void may_stay(const wire::MemberId& member);
+  void must_leave(const wire::TaskId& task_id, bool taken, double now);
+  void may_stay(const wire::TaskId& task_id);
   // All members of these were started: `spots` in the order of `want.members`.
-  void started(const Want& want, const std::vector<Spot>& spots, double now);
+  void started(const PlacementRequest& want, const std::vector<Placement>& spots, double now);
   // Places for all members, in the order of their numbers, are to be kept and the replica moved there.
-  void moving(const ReplicaId& id, const std::vector<Spot>& spots, double now);
+  void moving(const ReplicaId& id, const std::vector<Placement>& spots, double now);
   // No place for all was found: `partial` is kept for it if it is its turn. Says whether it is.
-  bool hold(const ReplicaId& id, const std::vector<Spot>& partial, double now);
+  bool reserve_partial(const ReplicaId& id, const std::vector<Placement>& partial, double now);
   // Stops all of it: for the room, or since it may not go on.
   void evict(const ReplicaId& id, double now);
 
@@ -113,7 +113,7 @@
   std::vector<Action> take() { return std::exchange(actions_, {}); }
 
   // Up to `most` replicas of a job with members to place, those that lack least first.
-  std::vector<Want> wants(const wire::JobId& job, std::size_t most, double now) const;
+  std::vector<PlacementRequest> wants(const wire::JobId& job, std::size_t most, double now) const;
   // Whole replicas that may be moved now.
   std::vector<Move> moves(double now) const;
 
@@ -126,30 +126,30 @@
 
  private:
   enum class State : std::uint8_t { absent, sent, running };
-  struct Member {
+  struct Task {
     State state = State::absent;
-    Spot spot;
+    Placement placement;
     bool leave = false;
     bool taken = false;
   };
   struct Replica {
     Phase phase = Phase::waiting;
-    std::vector<Member> members;
+    std::vector<Task> tasks;
     double since = 0;      // when its phase began
     double deadline = -1;  // of its start; below 0: not judged yet
     double moved_at = -1e18;
-    std::vector<Spot> kept;
-    double kept_until = 0;
+    std::vector<Placement> reserved;
+    double reserved_until = 0;
     double hold_s = 0;  // that it held last, in vain
     bool on_move = false;
     double stopped_at = 0;
     double not_before = -1e18;  // it made room for another: it does not take it back at once
-    std::set<wire::HostId> avoid;
+    std::set<wire::MachineId> avoid;
   };
   struct Job {
     std::uint32_t span = 1;
-    std::uint32_t rest = 0;
-    double fetch_s = 0;
+    std::uint32_t unusable_tasks = 0;
+    double image_pull_s = 0;
     std::vector<Replica> replicas;
     std::set<std::uint32_t> open;  // with members to place
   };
@@ -157,14 +157,14 @@
   Replica* find(const ReplicaId& id);
   const Replica* find(const ReplicaId& id) const;
   // The replica of a member, and the member in it.
-  std::pair<ReplicaId, std::uint32_t> place_of(const wire::MemberId& member) const;
+  std::pair<ReplicaId, std::uint32_t> place_of(const wire::TaskId& task_id) const;
   void enter(const ReplicaId& id, Replica& replica, Phase phase, double now);
   void stop(const ReplicaId& id, Replica& replica, bool keep_room, double now);
   void order_stops(const ReplicaId& id, Replica& replica, double now);
   void settle(const ReplicaId& id, Replica& replica, double now);
   void judge(const ReplicaId& id, double now);
   void look(double now);
-  void keep(const ReplicaId& id, Replica& replica, std::vector<Spot> spots);
+  void keep(const ReplicaId& id, Replica& replica, std::vector<Placement> spots);
   void note(const ReplicaId& id, const Replica& replica);
   void leave_hold(const ReplicaId& id, double now);
   static bool split(const Replica& replica);
@@ -181,4 +181,4 @@
   std::vector<Action> actions_;
 };
 
-}  // namespace bankhill::replicas
+}  // namespace bankhill::gang
--- a/src/gateway/admission.hpp
+++ b/src/gateway/admission.hpp
@@ -13,11 +13,11 @@
 // What a team may use at most.
 struct TeamLimit {
   std::string name;
-  wire::Amounts limit;  // cores and accelerators
+  wire::Resources limit;  // cores and accelerators
 };
 
 // The reason why the job can never run; nothing if it can.
 std::optional<RejectionReason> refusal(const wire::JobSpec& spec, const std::vector<TeamLimit>& teams,
-                                       const std::vector<wire::Flavor>& flavors);
+                                       const std::vector<wire::MachineType>& machine_types);
 
 }  // namespace bankhill::gateway
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -9,6 +9,7 @@
 #include <string>
 #include <vector>
 
+#include "fair_share/retry_after_pacer.hpp"
 #include "gateway/admission.hpp"
 #include "gateway/job_index.hpp"
 #include "gateway/rejection.hpp"
@@ -17,7 +18,6 @@
 #include "policy/policy.hpp"
 #include "runtime/actor.hpp"
 #include "runtime/log.hpp"
-#include "shares/turned_away.hpp"
 #include "state/store.hpp"
 #include "wire/records.hpp"
 
@@ -30,25 +30,25 @@
   state::Changes changes;
 };
 // A user asks.
-struct UserCall {
+struct UserRequest {
   net::Request request;
   net::Reply reply;
-  bool relayed = false;  // by a sibling, which could not serve it
+  bool relayed = false;  // by a peer, which could not serve it
 };
 // The leader tells of a running job.
 struct Progressed {
-  wire::Progress progress;
+  wire::JobProgress progress;
 };
 
 // The actor that answers users.
-class Gateway : public runtime::Actor<Gateway, Changed, UserCall, Progressed> {
+class Gateway : public runtime::Actor<Gateway, Changed, UserRequest, Progressed> {
  public:
   // `policy`: in force at any time.
   Gateway(runtime::Loop& loop, runtime::Log log, state::Store& store, net::Relay& relay,
           const policy::Policy& policy, std::vector<TeamLimit> teams, std::size_t final_states_kept);
 
   void on(Changed& message);
-  void on(UserCall& message);
+  void on(UserRequest& message);
   void on(Progressed& message);
 
   // Whether users are to be sent here.
@@ -57,13 +57,13 @@
   bool state_ok() const;
 
  private:
-  struct Call {  // one request under way
+  struct PendingCall {  // one request under way
     net::Request request;
     net::Reply reply;
     bool relayed = false;
     int failed_attempts = 0;  // of its transaction
   };
-  using CallPtr = std::shared_ptr<Call>;
+  using CallPtr = std::shared_ptr<PendingCall>;
 
   struct Submission {  // of one job, under way
     CallPtr call;
@@ -79,16 +79,16 @@
   // Requests, each answered once.
   void submit(const CallPtr& call);
   void status(const CallPtr& call, const wire::JobId& id);
-  void withdraw(const CallPtr& call, const wire::JobId& id);
+  void cancel(const CallPtr& call, const wire::JobId& id);
 
   // Steps of a submission.
-  void check_waits(const SubmissionPtr& submission);
+  void check_dependencies(const SubmissionPtr& submission);
   void look_for_dependency(const SubmissionPtr& submission, const wire::JobId& need);
   void accept(const SubmissionPtr& submission);
   void commit_acceptance(const SubmissionPtr& submission);
   void acceptance_decided(const SubmissionPtr& submission, state::Outcome outcome);
   void accepted(const Submission& submission);
-  void refuse(const Submission& submission, const Rejection& rejection);
+  void reject(const Submission& submission, const Rejection& rejection);
   wire::KeyedValues render(const wire::JobSpec& spec) const;
   std::size_t value_bytes() const;
 
@@ -97,27 +97,27 @@
   void cancellation_decided(const CallPtr& call, const wire::JobId& id, state::Outcome outcome);
 
   // Hands over what is known of the job, at least as new as this call; null: no controller has accepted it.
-  // Where this one cannot tell, a sibling answers the call.
+  // Where this one cannot tell, a peer answers the call.
   void look_up(const CallPtr& call, const wire::JobId& id, std::function<void(const KnownJob*)> done);
   // Answers with the state of the job if any controller has accepted it.
   void answer_if_accepted(const CallPtr& call, const wire::JobId& id, std::function<void()> otherwise);
   void answer_known(const CallPtr& call, const wire::JobId& id);
   void answer_status(const CallPtr& call, const wire::JobId& id, const KnownJob& job) const;
-  // Hands over what became of the transaction. If the state service does not serve us, a sibling answers the
+  // Hands over what became of the transaction. If the state service does not serve us, a peer answers the
   // call.
   void commit(const CallPtr& call, state::Transaction transaction,
               std::function<void(state::Outcome)> decided);
   // After an attempt of the call's transaction that decided nothing.
-  static bool may_try_again(Call& call, int max_attempts);
-  void unable(const CallPtr& call);
-  net::Response limited(const wire::JobId& id);
+  static bool may_try_again(PendingCall& call, int max_attempts);
+  void unavailable(const CallPtr& call);
+  net::Response rate_limited(const wire::JobId& id);
 
   runtime::Log log_;
   state::Store& store_;
   net::Relay& relay_;
   const policy::Policy& policy_;
   std::vector<TeamLimit> teams_;
-  shares::TurnedAway turned_away_;
+  fair_share::RetryAfterPacer retry_after_;
   JobIndex jobs_;
   double look_first_until_ = 0;  // before a submission is accepted
 };
--- a/src/gateway/job_index.hpp
+++ b/src/gateway/job_index.hpp
@@ -11,11 +11,11 @@
 #include <string>
 #include <vector>
 
-#include "model/waits.hpp"
+#include "model/dependency_graph.hpp"
 #include "runtime/lifetime.hpp"
 #include "runtime/log.hpp"
 #include "runtime/loop.hpp"
-#include "state/reader.hpp"
+#include "state/key_fetcher.hpp"
 #include "state/store.hpp"
 #include "wire/frames.hpp"
 #include "wire/records.hpp"
@@ -24,14 +24,14 @@
 
 // What is known of one job that was accepted.
 struct KnownJob {
-  wire::JobPhase phase = wire::JobPhase::accepted;
-  wire::Stamp revision;  // of its record
+  wire::JobState state = wire::JobState::accepted;
+  wire::KeyRevision revision;  // of its record
   std::uint32_t task_count = 0;
   bool is_service = false;
   std::optional<wire::JobRecord> record;  // of live jobs
   bool record_unreadable = false;         // the record in the state service
   bool phase_unknown = false;             // and not even the phase in it
-  wire::Progress progress;
+  wire::JobProgress progress;
 };
 
 // What a look-up of a job came to.
@@ -59,7 +59,7 @@
   // Takes in what the state service published.
   void apply(const std::vector<state::Change>& changes);
   // Takes in what the leader tells of a running job.
-  void update_progress(wire::Progress progress);
+  void update_progress(wire::JobProgress progress);
   // Hands over what is known of the job, at least as new as this call.
   void look_up(const wire::JobId& id, LookupDone done);
 
@@ -73,9 +73,9 @@
   // Cancelled by its record or with a job that it depends on, as far as memory tells.
   bool is_cancelled(const wire::JobId& id) const;
   // Which jobs wait for which.
-  const model::Waits& dependencies() const { return dependencies_; }
+  const model::DependencyGraph& dependencies() const { return dependencies_; }
   // The cloud's catalogue; empty until it has been read.
-  const std::vector<wire::Flavor>& machine_types() const { return machine_types_; }
+  const std::vector<wire::MachineType>& machine_types() const { return machine_types_; }
 
  private:
   void apply_catalogue(const state::Change& change);
@@ -83,10 +83,10 @@
   void learn(const wire::JobId& id, const state::Entry& entry);
   void learn_unreadable(const wire::JobId& id, const state::Entry& entry);
   void learn_if_final(const wire::JobId& id, const state::Entry& entry);
-  bool append_dependency_parts(const wire::JobId& id, wire::JobRecord& record, wire::Stamp revision);
-  void add_dependencies(const wire::JobId& id, wire::JobRecord& record, wire::Stamp revision);
-  void update_dependencies(const wire::JobId& id, const model::JobFact& fact);
-  model::JobFact fact(const wire::JobId& id) const;
+  bool append_dependency_parts(const wire::JobId& id, wire::JobRecord& record, wire::KeyRevision revision);
+  void add_dependencies(const wire::JobId& id, wire::JobRecord& record, wire::KeyRevision revision);
+  void update_dependencies(const wire::JobId& id, const model::DependencyInfo& fact);
+  model::DependencyInfo fact(const wire::JobId& id) const;
   void fetch_unknown_dependencies();
   void learn_dependency(const wire::JobId& id, const std::optional<state::Entry>& entry);
   void forget_oldest();
@@ -99,12 +99,12 @@
   state::Store& store_;
   std::size_t final_jobs_kept_;
   FirstSeen first_seen_;
-  state::Reader key_fetcher_;  // of jobs that are named as dependencies and not known
+  state::KeyFetcher key_fetcher_;  // of jobs that are named as dependencies and not known
   wire::CatalogueReader catalogue_reader_;
-  std::vector<wire::Flavor> machine_types_;
+  std::vector<wire::MachineType> machine_types_;
   std::map<wire::JobId, KnownJob> jobs_;
   std::deque<wire::JobId> final_order_;  // jobs that are over, the oldest first
-  model::Waits dependencies_;
+  model::DependencyGraph dependencies_;
   std::map<std::string, wire::Json> dependency_parts_;  // by key
   runtime::Lifetime lifetime_;
 };
--- a/src/leader/autoscaler.cpp
+++ b/src/leader/autoscaler.cpp
@@ -28,7 +28,7 @@
 
 // Services that are over count too: a new leader knows from the first how many come.
 void Autoscaler::service_accepted(const Job& job) {
-  service_demand_.add(job.accepted_at, job.spec.need.cores, job.spec.members);
+  service_demand_.add(job.accepted_at, job.spec.request.cores, job.spec.task_count);
   if (!view_.machine_types.empty()) service_demand_.forget_before(loop_.wall() - demand_window_s());
 }
 
@@ -85,9 +85,9 @@
   double task_seconds = 0;
   double tasks = 0;
   for (const auto& [id, job] : view_.live_jobs) {
-    if (job->service()) continue;
-    task_seconds += task_s(*job) * job->spec.members;
-    tasks += job->spec.members;
+    if (job->is_service()) continue;
+    task_seconds += task_s(*job) * job->spec.task_count;
+    tasks += job->spec.task_count;
   }
   if (tasks == 0) return true;
   return *reclaim_rate * (task_seconds / tasks) < settings_.phi;
@@ -97,9 +97,9 @@
   Demand demand;
   std::map<std::string, double> planned_cores;  // of each team
   for (const auto& [id, job] : view_.live_jobs) {
-    if (!job->released || loop_.now() < job->blocked_until) continue;
+    if (!job->dependencies_met || loop_.now() < job->blocked_until) continue;
     auto work = work_of(*job);
-    limit_to_quota(work, job->spec.owner, planned_cores);
+    limit_to_quota(work, job->spec.team, planned_cores);
     demand.tasks_wait = demand.tasks_wait || ports_.placeable_tasks(*job) > 0;
     if (work.tasks > 0) demand.work.push_back(std::move(work));
   }
@@ -109,17 +109,17 @@
 
 planner::Work Autoscaler::work_of(const Job& job) const {
   planner::Work work;
-  work.need = job.spec.need;
+  work.request = job.spec.request;
   work.tasks = std::max(0.0, 1.0 * job.unfinished() - (job.ready - ports_.placeable_tasks(job)));
   work.task_s = std::max(1.0, task_s(job));
   // The period in which the work should be done. Estimates are often wrong by half: part of the time that is
   // left is kept in reserve.
-  work.window_s = std::max(work.task_s, kWindowShare * view_.queue.due_in(job, loop_.wall()));
+  work.window_s = std::max(work.task_s, kWindowShare * view_.queue.time_to_deadline(job, loop_.wall()));
   if (std::isinf(work.window_s)) work.window_s = work.task_s;
-  work.service = job.service();
-  work.reclaimable = job.spec.reclaimable;
-  work.flavors = job.spec.flavors;
-  work.rack_room = job.spec.rack_room;
+  work.service = job.is_service();
+  work.allows_preemptible = job.spec.allows_preemptible;
+  work.machine_types = job.spec.machine_types;
+  work.zone = job.spec.zone;
   return work;
 }
 
@@ -129,8 +129,8 @@
   const auto limit = ports_.core_limit(team);
   if (!limit) return;
   auto& planned = planned_cores[team];
-  work.tasks = std::min(work.tasks, std::max(0.0, std::floor((*limit - planned) / work.need.cores)));
-  planned += work.tasks * work.need.cores;
+  work.tasks = std::min(work.tasks, std::max(0.0, std::floor((*limit - planned) / work.request.cores)));
+  planned += work.tasks * work.request.cores;
 }
 
 // A service starts at once only where room and image are at hand: about what comes within a short while.
@@ -139,8 +139,8 @@
                                             kReserveIntervals * settings_.control_interval_s);
   if (reserved_cores_ <= 0) return;
   planner::Work reserve;
-  reserve.need.cores = service_demand_.largest_task_cores();
-  reserve.tasks = reserved_cores_ / reserve.need.cores;
+  reserve.request.cores = service_demand_.largest_task_cores();
+  reserve.tasks = reserved_cores_ / reserve.request.cores;
   reserve.task_s = reserve.window_s = 1;
   reserve.service = true;
   work.push_back(std::move(reserve));
@@ -153,7 +153,7 @@
 Autoscaler::Cores Autoscaler::wanted_cores(const planner::Plan& plan, const Offers& offers) {
   Cores wanted;
   for (std::size_t i = 0; i < offers.size(); ++i) {
-    const double cores = offers[i].flavor.size.cores;
+    const double cores = offers[i].machine_type.capacity.cores;
     wanted.steady += plan.steady[i] * cores;
     wanted.preemptible += (plan.spot[i] + plan.avoided[i]) * cores;
   }
@@ -163,10 +163,10 @@
 // Of machines that are up, that are coming and that are requested.
 Autoscaler::Cores Autoscaler::present_cores() const {
   Cores present;
-  for (const auto& [pool, state] : view_.fleet.pools()) present.of(pool.reclaimable) += state.sums.cores;
+  for (const auto& [pool, state] : view_.fleet.pools()) present.of(pool.preemptible) += state.sums.cores;
   view_.rentals.visit_requested([&](const wire::RentalRecord& requested) {
-    if (const auto* type = machine_type(requested.flavor))
-      present.of(requested.reclaimable) += type->size.cores * requested.count;
+    if (const auto* type = machine_type(requested.machine_type))
+      present.of(requested.preemptible) += type->capacity.cores * requested.count;
   });
   return present;
 }
@@ -174,20 +174,20 @@
 // Whatever covers what is missing at the least cost: a machine much larger than that would stand idle for the
 // most part. What a type cannot give is asked of the next.
 void Autoscaler::rent_missing(double& missing_cores, bool preemptible, const Offers& offers) {
-  std::vector<const wire::Flavor*> untried;
+  std::vector<const wire::MachineType*> untried;
   for (const auto& offer : offers)
-    if (!preemptible || offer.spot_allowed) untried.push_back(&offer.flavor);
-  const auto machines = [&](const wire::Flavor& type) {
-    return std::ceil(missing_cores / type.size.cores - kRounding);
+    if (!preemptible || offer.spot_allowed) untried.push_back(&offer.machine_type);
+  const auto machines = [&](const wire::MachineType& type) {
+    return std::ceil(missing_cores / type.capacity.cores - kRounding);
   };
-  const auto cost = [&](const wire::Flavor* type) {
-    return machines(*type) * (preemptible ? type->low_price : type->rate);
+  const auto cost = [&](const wire::MachineType* type) {
+    return machines(*type) * (preemptible ? type->preemptible_hourly_price : type->hourly_price);
   };
   while (missing_cores > kRounding && !untried.empty()) {
     const auto best = std::min_element(untried.begin(), untried.end(),
                                        [&](const auto* a, const auto* b) { return cost(a) < cost(b); });
     const auto& type = **best;
-    missing_cores -= view_.rentals.request(type, preemptible, machines(type)) * type.size.cores;
+    missing_cores -= view_.rentals.request(type, preemptible, machines(type)) * type.capacity.cores;
     untried.erase(best);
   }
 }
@@ -199,16 +199,16 @@
     if (ports_.is_gang(id) || !ports_.may_start(*job) || !ports_.quota_allows(*job)) continue;
     if (can_take_its_time(*job) || machine_at_hand(*job)) continue;
     planner::Work work;
-    work.need = job->spec.need;
-    work.flavors = job->spec.flavors;
-    work.rack_room = job->spec.rack_room;
+    work.request = job->spec.request;
+    work.machine_types = job->spec.machine_types;
+    work.zone = job->spec.zone;
     const auto preferred = planner::preferred(work, offers);
     if (!preferred || earned[*preferred]) continue;
     earned[*preferred] = true;
     if (view_.rentals.any_requested()) continue;
-    const auto& type = offers[smallest_that_holds(work, offers, *preferred)].flavor;
+    const auto& type = offers[smallest_that_holds(work, offers, *preferred)].machine_type;
     // Elsewhere none is of use to it.
-    view_.rentals.request(type, false, 1, job->spec.rack_room.value_or(""));
+    view_.rentals.request(type, false, 1, job->spec.zone.value_or(""));
   }
 }
 
@@ -216,14 +216,14 @@
 // machine whenever all were busy, it had as many within minutes as without a calendar, steady ones at that.
 bool Autoscaler::can_take_its_time(const Job& job) const {
   if (!view_.queue.cutoff(job) || !job.failed_on.empty()) return false;
-  const double due = view_.queue.due_in(job, loop_.wall());
+  const double due = view_.queue.time_to_deadline(job, loop_.wall());
   const double needed = task_s(job) + planner::longest_boot_s(view_.machine_types);
   if (std::isinf(due) || kWindowShare * due < needed) return false;
   const auto& pools = view_.fleet.pools();
   return std::any_of(pools.begin(), pools.end(), [&](const auto& entry) {
     const auto& [pool, state] = entry;
-    return state.sums.up + state.sums.coming > 0 && model::allows(job.spec, pool) &&
-           job.spec.need.fits(state.size);
+    return state.sums.up + state.sums.booting > 0 && model::allows(job.spec, pool) &&
+           job.spec.request.fits(state.capacity);
   });
 }
 
@@ -233,11 +233,11 @@
   return std::any_of(pools.begin(), pools.end(), [&](const auto& entry) {
     const auto& [pool, state] = entry;
     if (!model::allows(job.spec, pool)) return false;
-    if (state.sums.coming + state.sums.joining > 0 && job.spec.need.fits(state.size)) return true;
+    if (state.sums.booting + state.sums.joining > 0 && job.spec.request.fits(state.capacity)) return true;
     // A machine that its tasks failed on takes no more of it: where all have, it waited for ever.
     const auto* roomiest = state.open.empty() ? nullptr : state.open.rbegin()->machine;
-    return roomiest != nullptr && job.spec.need.fits(roomiest->room()) &&
-           !job.failed_on.contains(roomiest->host);
+    return roomiest != nullptr && job.spec.request.fits(roomiest->available()) &&
+           !job.failed_on.contains(roomiest->id);
   });
 }
 
@@ -246,9 +246,9 @@
                                             std::size_t preferred) {
   std::size_t smallest = preferred;
   for (std::size_t i = 0; i < offers.size(); ++i) {
-    const auto& type = offers[i].flavor;
-    if (planner::slots(work.need, type.size) >= 1 && planner::allows(work.flavors, type.name) &&
-        type.rate < offers[smallest].flavor.rate)
+    const auto& type = offers[i].machine_type;
+    if (planner::slots(work.request, type.capacity) >= 1 && planner::allows(work.machine_types, type.name) &&
+        type.hourly_price < offers[smallest].machine_type.hourly_price)
       smallest = i;
   }
   return smallest;
@@ -261,10 +261,10 @@
 void Autoscaler::set_excess(double missing_steady_cores) {
   double idle_preemptible = 0;
   for (const auto& [pool, state] : view_.fleet.pools())
-    if (pool.reclaimable) idle_preemptible += state.sums.free_cores;
+    if (pool.preemptible) idle_preemptible += state.sums.free_cores;
   for (const auto& machine_id : excess_machines_) {
     const auto* machine = view_.fleet.peek(machine_id);
-    if (!machine->releasing) idle_preemptible -= machine->size.cores;
+    if (!machine->terminating) idle_preemptible -= machine->capacity.cores;
   }
   excess_cores_ = std::max(0.0, std::min(-missing_steady_cores, idle_preemptible));
 }
@@ -274,27 +274,27 @@
   while (missing_steady_cores > kRounding && !excess_machines_.empty()) {
     auto* machine = view_.fleet.find(*excess_machines_.begin());
     excess_machines_.erase(excess_machines_.begin());
-    if (machine->releasing || !ports_.use_again(*machine, kExcessReason)) continue;
+    if (machine->terminating || !ports_.use_again(*machine, kExcessReason)) continue;
     machine->idle_since = loop_.now();
-    missing_steady_cores -= machine->size.cores;
+    missing_steady_cores -= machine->capacity.cores;
     ports_.count_event("surplus machines wanted again");
   }
 }
 
 void Autoscaler::drain_if_excess(Machine& machine) {
-  if (machine.reclaimable || machine.size.cores > excess_cores_ || machine.service_cores > 0 ||
-      machine.kept.cores > 0)
+  if (machine.preemptible || machine.capacity.cores > excess_cores_ || machine.service_cores > 0 ||
+      machine.reserved.cores > 0)
     return;
   if (!machine.takes_tasks() || loop_.now() - machine.first_seen < cloud::kLeastChargeS) return;
-  excess_cores_ -= machine.size.cores;
+  excess_cores_ -= machine.capacity.cores;
   ports_.drain(machine, kExcessReason);
-  excess_machines_.insert(machine.host);
+  excess_machines_.insert(machine.id);
   ports_.count_event("machines surplus");
 }
 
 bool Autoscaler::terminate_if_idle(Machine& machine) {
   const double now = loop_.now();
-  if (!machine.takes_tasks() || !machine.binds.empty() || machine.kept.cores > 0) return false;
+  if (!machine.takes_tasks() || !machine.assignments.empty() || machine.reserved.cores > 0) return false;
   if (now - machine.idle_since < idle_limit_s(machine) || now - machine.first_seen < cloud::kLeastChargeS)
     return false;
   view_.rentals.terminate(machine, "idle");
@@ -303,15 +303,16 @@
 
 // An idle machine is worth keeping for about as long as another takes to boot, the less the dearer it is.
 double Autoscaler::idle_limit_s(const Machine& machine) const {
-  const auto* type = machine_type(machine.flavor);
+  const auto* type = machine_type(machine.machine_type);
   if (type == nullptr) return settings_.round_s;
-  return settings_.idle_boots * type->boot_s * (machine.reclaimable ? 1 : type->low_price / type->rate);
+  return settings_.idle_boots * type->boot_s *
+         (machine.preemptible ? 1 : type->preemptible_hourly_price / type->hourly_price);
 }
 
-const wire::Flavor* Autoscaler::machine_type(const std::string& name) const {
+const wire::MachineType* Autoscaler::machine_type(const std::string& name) const {
   const auto& types = view_.machine_types;
-  const auto found =
-      std::find_if(types.begin(), types.end(), [&](const wire::Flavor& type) { return type.name == name; });
+  const auto found = std::find_if(types.begin(), types.end(),
+                                  [&](const wire::MachineType& type) { return type.name == name; });
   return found == types.end() ? nullptr : &*found;
 }
 
--- a/src/leader/autoscaler.hpp
+++ b/src/leader/autoscaler.hpp
@@ -16,7 +16,7 @@
 #include "model/spot_reclaim_history.hpp"
 #include "planner/planner.hpp"
 #include "planner/service_demand.hpp"
-#include "queue/queue.hpp"
+#include "queue/job_queue.hpp"
 #include "runtime/log.hpp"
 #include "runtime/loop.hpp"
 
@@ -34,9 +34,10 @@
 
   // What it looks at, and changes as said. All of it outlives the autoscaler.
   struct View {
-    const std::vector<wire::Flavor>& machine_types;  // the cloud's catalogue; empty if it is not known yet
+    const std::vector<wire::MachineType>&
+        machine_types;  // the cloud's catalogue; empty if it is not known yet
     const std::map<wire::JobId, model::Job*>& live_jobs;
-    const queue::Queue& queue;
+    const queue::JobQueue& queue;
     model::Fleet& fleet;
     RentalManager& rentals;
   };
@@ -76,7 +77,7 @@
   void drain_if_excess(model::Machine& machine);
   // ... and returns it if it has been idle for long enough; says whether it did.
   bool terminate_if_idle(model::Machine& machine);
-  void machine_terminated(const wire::HostId& machine_id) { excess_machines_.erase(machine_id); }
+  void machine_terminated(const wire::MachineId& machine_id) { excess_machines_.erase(machine_id); }
 
   // Cores of steady machines that are kept free of batch tasks for services to come.
   double reserved_cores() const { return reserved_cores_; }
@@ -120,7 +121,7 @@
   void recall_excess(double& missing_steady_cores);
   double idle_limit_s(const model::Machine& machine) const;
 
-  const wire::Flavor* machine_type(const std::string& name) const;
+  const wire::MachineType* machine_type(const std::string& name) const;
 
   runtime::Loop& loop_;
   runtime::Log log_;
@@ -132,8 +133,8 @@
   planner::ServiceDemand service_demand_;
   double reserved_cores_ = 0;
 
-  std::set<wire::HostId> excess_machines_;  // steady ones that are drained since they are too many
-  double excess_cores_ = 0;                 // of steady machines beyond the plan that may still be drained
+  std::set<wire::MachineId> excess_machines_;  // steady ones that are drained since they are too many
+  double excess_cores_ = 0;                    // of steady machines beyond the plan that may still be drained
 
   double last_plan_ = -1e9;  // steady clock
   bool plan_scheduled_ = false;
--- a/src/leader/machine_monitor.cpp
+++ b/src/leader/machine_monitor.cpp
@@ -46,7 +46,7 @@
 void MachineMonitor::check_boot(Machine& machine) {
   const double usual_s = ports_.usual_boot_s(machine);
   const double booting_s = loop_.now() - machine.first_seen;
-  if (booting_s > kBootLate * usual_s && !std::exchange(machine.late, true)) {
+  if (booting_s > kBootLate * usual_s && !std::exchange(machine.boot_overdue, true)) {
     count_boot(false);
     fleet_.refresh(machine);
     ports_.plan_soon();
@@ -73,9 +73,9 @@
   SilenceCheck check;
   check.now = loop_.now();
   check.silence_s = check.now - machine.last_contact;
-  check.downlink_works = machine.hearing.takes_tasks();
+  check.downlink_works = machine.downlink.takes_tasks();
   // Services are missed at once: their machines are asked between two heartbeats, and given up sooner.
-  check.limits = failure_detector_.limits(
+  check.limits = failure_detector_.thresholds(
       {machine.service_cores > 0, check.downlink_works, machine.probes_unanswered > 0});
   return check;
 }
@@ -88,72 +88,73 @@
 }
 
 bool MachineMonitor::probe_due(const Machine& machine, const SilenceCheck& check) const {
-  if (machine.hearing.ask_due(check.now)) return true;
-  return check.silence_s > check.limits.ask && check.now - machine.last_probe > check.limits.again;
+  if (machine.downlink.probe_due(check.now)) return true;
+  return check.silence_s > check.limits.probe_after_s &&
+         check.now - machine.last_probe > check.limits.probe_again_after_s;
 }
 
 void MachineMonitor::mark_overdue(Machine& machine, const SilenceCheck& check) {
   const bool service_unanswered = machine.service_cores > 0 && machine.probes_unanswered > 0;
-  if (machine.quiet || (check.silence_s <= check.limits.quiet && !service_unanswered)) return;
-  machine.quiet = true;
+  if (machine.overdue || (check.silence_s <= check.limits.overdue_after_s && !service_unanswered)) return;
+  machine.overdue = true;
   fleet_.refresh(machine);
 }
 
 void MachineMonitor::update_reporting(Machine& machine) {
-  const auto before = machine.reporting;
-  machine.reporting = failure_detector_.reporting(unreported_s(machine));
-  if (machine.reporting == before) return;
+  const auto before = machine.uplink;
+  machine.uplink = failure_detector_.uplink_state(unreported_s(machine));
+  if (machine.uplink == before) return;
   fleet_.refresh(machine);
-  if (machine.reporting == model::Reporting::comes) machine.restart_idle_time(loop_.now());
+  if (machine.uplink == model::UplinkState::up) machine.restart_idle_time(loop_.now());
   ports_.place_soon();
   ports_.plan_soon();
 }
 
 double MachineMonitor::unreported_s(const Machine& machine) const {
-  return loop_.now() - std::max({machine.reported_at, term_began_at_, listening_since_});
+  return loop_.now() - std::max({machine.heartbeat_at, term_began_at_, listening_since_});
 }
 
 // Invariant 5: no earlier leader answered after this term began, so the lease has run out by now.
 bool MachineMonitor::lease_expired(const Machine& machine, double now) const {
-  return now > machine.lease.surely_over_at(settings_.timing.lease_s);
+  return now > machine.lease.expired_at(settings_.timing.lease_s);
 }
 
 void MachineMonitor::expire_lease(Machine& machine) {
   if (!machine.confirmed) {
-    log_->debug("machine {}: unconfirmed and its lease has run out", machine.host.value);
+    log_->debug("machine {}: unconfirmed and its lease has run out", machine.id.value);
     machine.confirmed = true;
     ports_.drain(machine, "lease ran out unheard");
   }
-  // Once, and nothing is placed there until it is heard again: a task told to start in a session that
+  // Once, and nothing is placed there until it is heard again: a task told to start in an agent epoch that
   // is only assumed could run although its lease seems to have run out long ago.
-  if (!std::exchange(machine.lost, true)) {
-    const wire::Tenure next{machine.tenure.value + 1};
+  if (!std::exchange(machine.lease_expired, true)) {
+    const wire::AgentEpoch next{machine.agent_epoch.value + 1};
     ports_.sessions_over(machine, next);
-    machine.tenure = next;
-    machine.counter = machine.reported = 0;
+    machine.agent_epoch = next;
+    machine.sequence = machine.heartbeat_sequence = 0;
   }
   fleet_.refresh(machine);
 }
 
 // One-way links.
 
-void MachineMonitor::downlink_changed(Machine& machine, model::Hearing::State before) {
-  using State = model::Hearing::State;
-  const auto state = machine.hearing.state();
+void MachineMonitor::downlink_changed(Machine& machine, model::DownlinkHealth::State before) {
+  using State = model::DownlinkHealth::State;
+  const auto state = machine.downlink.state();
   if (state == before) return;
   fleet_.refresh(machine);
-  if (state == State::asked) {
-    log_->debug("machine {}: what it was told did not arrive, asking it", machine.host.value);
+  if (state == State::probing) {
+    log_->debug("machine {}: what it was told did not arrive, asking it", machine.id.value);
     ports_.count_event("machines asked whether they hear");
-  } else if (state == State::deaf) {
+  } else if (state == State::lost) {
     log_->warn("machine {}: reports arrive, answers and commands do not; nothing more for it until it hears",
-               machine.host.value);
+               machine.id.value);
     ports_.count_event("deaf machines");
     ports_.plan_soon();
   } else {
-    if (before == State::deaf) {
-      log_->info("machine {}: hears again after {:.0f} s", machine.host.value,
-                 loop_.now() - machine.hearing.since());
+    if (before == State::lost) {
+      log_->info("machine {}: hears again after {:.0f} s", machine.id.value,
+                 loop_.now() - machine.downlink.since());
       ports_.count_event("deaf machines that hear again");
     }
     machine.restart_idle_time(loop_.now());
@@ -161,12 +162,12 @@
   }
 }
 
-// What it ran is over with its session; as long as something is bound there it hears after all.
+// What it ran is over with its agent epoch; as long as something is bound there it hears after all.
 void MachineMonitor::check_lost_links(Machine& machine, double now) {
-  const bool downlink_lost = machine.hearing.give_up(now, settings_.timing);
+  const bool downlink_lost = machine.downlink.give_up(now, settings_.timing);
   const bool uplink_lost = failure_detector_.give_up(unreported_s(machine));
   if (!downlink_lost && !uplink_lost) return;
-  if (!machine.binds.empty() || !machine.confirmed || many_unheard(machine)) return;
+  if (!machine.assignments.empty() || !machine.confirmed || many_unheard(machine)) return;
   ports_.terminate(machine, downlink_lost ? Fault::downlink_lost : Fault::uplink_lost);
 }
 
@@ -179,19 +180,19 @@
   // Many of a zone at once: rather the network; releasing them would end work that goes on there.
   const double unheard_s = check.now - std::max(machine.last_contact, term_began_at_);
   if (many_unheard(machine) && unheard_s < settings_.timing.lease_s) return;
-  if (!machine.warned_until && machine.reclaimable && !machine.releasing) ports_.lost_to_cloud(machine);
+  if (!machine.preemption_at && machine.preemptible && !machine.terminating) ports_.lost_to_cloud(machine);
   ports_.terminate(machine, Fault::silent);
 }
 
 bool MachineMonitor::unconfirmed_probe_due(const Machine& machine, const SilenceCheck& check) const {
   return !machine.confirmed && check.downlink_works && machine.probes_unanswered > 0 &&
-         check.now - machine.last_probe > kUnconfirmedPatience * settings_.timing.control_interval_s;
+         check.now - machine.last_probe > kUnconfirmedTimeoutIntervals * settings_.timing.control_interval_s;
 }
 
 // One that this term never heard holds up others' tasks: it is waited for less long.
 bool MachineMonitor::silent_for_too_long(const Machine& machine, const SilenceCheck& check) const {
   if (machine.probes_unanswered < kProbesUnanswered) return false;
-  if (machine.confirmed) return check.silence_s > check.limits.gone;
+  if (machine.confirmed) return check.silence_s > check.limits.dead_after_s;
   return check.now - term_began_at_ > kUnconfirmedGivenUp * settings_.timing.control_interval_s;
 }
 
@@ -200,15 +201,15 @@
 bool MachineMonitor::fault_may_be_ours(const Machine& machine, const SilenceCheck& check,
                                        bool reachability_in_doubt) const {
   if (check.silence_s >= settings_.timing.lease_s) return false;
-  const bool others_heard = last_direct_contact_at_ >= machine.last_contact + check.limits.gone / 2;
+  const bool others_heard = last_direct_contact_at_ >= machine.last_contact + check.limits.dead_after_s / 2;
   if (fleet_.total().up > 1 && !others_heard) return true;
   return reachability_in_doubt;
 }
 
 // Many of a zone at once: rather the network, or us; returned one by one the fleet would be empty.
 bool MachineMonitor::many_unheard(const Machine& machine) const {
-  const auto zone = fleet_.zone(machine.rack_room);
-  const auto unheard = zone.quiet + zone.deaf + zone.unconfirmed;
+  const auto zone = fleet_.zone(machine.zone);
+  const auto unheard = zone.overdue + zone.downlink_lost + zone.unconfirmed;
   return unheard >= 2 && static_cast<double>(unheard) > kMassShare * static_cast<double>(zone.up);
 }
 
--- a/src/leader/machine_monitor.hpp
+++ b/src/leader/machine_monitor.hpp
@@ -6,10 +6,10 @@
 #include <functional>
 #include <string>
 
-#include "model/boots.hpp"
+#include "model/boot_statistics.hpp"
+#include "model/failure_detector.hpp"
 #include "model/fleet.hpp"
 #include "model/heartbeat_timing.hpp"
-#include "model/silence.hpp"
 #include "runtime/log.hpp"
 #include "runtime/loop.hpp"
 
@@ -17,7 +17,7 @@
 
 // Control intervals in which a machine that is not confirmed in this term must answer: it holds up others'
 // tasks.
-constexpr double kUnconfirmedPatience = 0.5;
+constexpr double kUnconfirmedTimeoutIntervals = 0.5;
 
 class MachineMonitor {
  public:
@@ -42,8 +42,8 @@
     std::function<void(model::Machine& machine, Fault fault)> terminate;
     // The machine takes no more tasks and is returned once empty.
     std::function<void(model::Machine& machine, const std::string& reason)> drain;
-    // All sessions of its worker before `next` are over, with the tasks started in them.
-    std::function<void(model::Machine& machine, wire::Tenure next)> sessions_over;
+    // All agent epochs of its worker before `next` are over, with the tasks started in them.
+    std::function<void(model::Machine& machine, wire::AgentEpoch next)> sessions_over;
     // The cloud may have taken it without notice.
     std::function<void(const model::Machine& machine)> lost_to_cloud;
     std::function<double(const model::Machine& machine)> usual_boot_s;
@@ -57,7 +57,7 @@
     double now = 0;
     double silence_s = 0;
     bool downlink_works = true;  // as far as is known
-    model::Silence::Limits limits;
+    model::FailureDetector::Thresholds limits;
   };
 
   // `fleet` must outlive it.
@@ -82,7 +82,7 @@
   // To be called after each heartbeat: whether its heartbeats come may have changed.
   void update_reporting(model::Machine& machine);
   // To be called after each change of its downlink's health, which was `before`.
-  void downlink_changed(model::Machine& machine, model::Hearing::State before);
+  void downlink_changed(model::Machine& machine, model::DownlinkHealth::State before);
   const model::HeartbeatTiming& timing() const { return settings_.timing; }
 
  private:
@@ -103,9 +103,9 @@
   Settings settings_;
   model::Fleet& fleet_;
   Ports ports_;
-  model::Silence failure_detector_;
+  model::FailureDetector failure_detector_;
 
-  model::Boots boots_;
+  model::BootStatistics boots_;
   // Steady clock.
   double boots_counted_at_ = 0;
   double term_began_at_ = 0;
--- a/src/leader/placement.cpp
+++ b/src/leader/placement.cpp
@@ -11,14 +11,14 @@
 
 using model::Job;
 using model::Machine;
-using queue::kNoRoom;
+using queue::kNoMachineHasRoom;
 using queue::task_s;
 using state::FlushDelay;
-using wire::Order;
-using wire::Verb;
+using wire::Command;
+using wire::CommandType;
 
 namespace {
-constexpr double kRoomComes = 0.15;  // paces that a task needs to stop and tell
+constexpr double kRoomComes = 0.15;  // control intervals that a task needs to stop and tell
 constexpr double kRoomPaces = 4;     // for which room that was made is its task's alone
 constexpr double kServiceRoomPaces = 2;
 constexpr int kBindsPerTurn = 200;
@@ -26,8 +26,8 @@
 constexpr double kServiceShare = 0.04;   // of all services: may be on one machine
 constexpr double kSpreadBoots = 2;       // boots that a service waits for a machine that has fewer
 constexpr std::size_t kRoomLook = 48;    // machines looked at for a task that needs others stopped
-constexpr double kRoomAgain = 0.2;       // paces after which a batch looks for others to stop again
-constexpr std::size_t kRoomTries = queue::kLookedAt;  // jobs in a turn that look for others to stop
+constexpr double kRoomAgain = 0.2;  // control intervals after which a batch looks for others to stop again
+constexpr std::size_t kRoomTries = queue::kCandidatesTried;  // jobs in a turn that look for others to stop
 constexpr double kRounding = 1e-6;
 const std::string kDrains = "a machine drains for it";
 }  // namespace
@@ -37,9 +37,9 @@
   int binds_left = kBindsPerTurn;
   std::size_t preemptions_left = kRoomTries;
   UnplaceableRequests unplaceable;
-  std::set<wire::HostId> answered_machines;  // whose report waits for its answer
-  Orders starts;                             // for the other machines
-  bool tasks_wait = false;                   // for a machine
+  std::set<wire::MachineId> answered_machines;  // whose heartbeat waits for its answer
+  CommandsByMachine starts;                     // for the other machines
+  bool tasks_wait = false;                      // for a machine
 };
 
 void Leader::place_soon() {
@@ -50,19 +50,22 @@
   }));
 }
 
-queue::Queue::Settings Leader::queue_settings() const {
-  queue::Queue::Settings result{
-      settings_.pace_s,         settings_.round_s,      {settings_.within_s, settings_.deadline_times}, {},
-      settings_.begin_within_s, settings_.largest_share};
+queue::JobQueue::Settings Leader::queue_settings() const {
+  queue::JobQueue::Settings result{settings_.control_interval_s,
+                                   settings_.round_s,
+                                   {settings_.within_s, settings_.deadline_times},
+                                   {},
+                                   settings_.begin_within_s,
+                                   settings_.largest_share};
   for (const auto& item : settings_.teams) result.weights[item.name] = item.guarantee.cores;
   return result;
 }
 
-queue::Queue::Facts Leader::queue_facts() {
+queue::JobQueue::Facts Leader::queue_facts() {
   return {[this](const Job& job) { return may_start(job); },
           [this](const Job& job) { return within_guarantee(job); },
           [this](const Job& job) {
-            const auto goal = waits_.goal(job.spec.uid);
+            const auto goal = dependencies_.goal(job.spec.id);
             const auto found = goal.last.value.empty() ? jobs_.end() : jobs_.find(goal.last);
             return queue::Deadline{found == jobs_.end() ? nullptr : &found->second, goal.rest_s};
           }};
@@ -70,102 +73,107 @@
 
 // Invariant 5: what an earlier leader may have started waits until no unconfirmed machine could hold it.
 bool Leader::unconfirmed_could_hold(const Job& job) const {
-  if (job.ready_stamp > won_ || fleet_.total().unconfirmed == 0) return false;
+  if (job.eligible_revision > elected_at_revision_ || fleet_.total().unconfirmed == 0) return false;
   return std::any_of(fleet_.pools().begin(), fleet_.pools().end(), [&](const auto& entry) {
     return entry.second.sums.unconfirmed > 0 && model::allows(job.spec, entry.first);
   });
 }
 
 bool Leader::may_start(const Job& job) const {
-  if (!job.live() || !job.released || job.ready == 0 || loop().now() < job.blocked_until) return false;
+  if (!job.live() || !job.dependencies_met || job.ready == 0 || loop().now() < job.blocked_until)
+    return false;
   return !job.on_trial() && !unconfirmed_could_hold(job);
 }
 
 bool Leader::team_has_room(const Job& job, std::uint32_t tasks) {
   const auto admission =
-      quota_.admit(job.spec.owner, job.spec.need, tasks, fleet_.total().unconfirmed_size, term_);
+      quota_.admit(job.spec.team, job.spec.request, tasks, fleet_.total().unconfirmed_capacity, term_);
   // Invariant 21: what the next leader is to count on is raised before it is used.
-  if (admission == Admission::bound_not_covered) write_bounds(false);
+  if (admission == Admission::bound_not_covered) write_quota(false);
   return admission == Admission::allowed;
 }
 
 // One record for all teams, a put when one nears its bound; lowered once a round.
-void Leader::write_bounds(bool lower) {
-  const auto record = quota_.next_record(fleet_.total().unconfirmed_size, term_, lower);
+void Leader::write_quota(bool lower) {
+  const auto record = quota_.next_record(fleet_.total().unconfirmed_capacity, term_, lower);
   if (!record) return;
-  writes_.store(wire::kBoundsKey, to_json(*record), FlushDelay::awaited, [this] {
+  writes_.store(wire::kQuotaKey, to_json(*record), FlushDelay::awaited, [this] {
     quota_.record_stored();
     place_soon();
   });
 }
 
 bool Leader::within_guarantee(const Job& job) const {
-  return quota_.within_guarantee(job.spec.owner, job.spec.need, fleet_.total().unconfirmed_size);
+  return quota_.within_guarantee(job.spec.team, job.spec.request, fleet_.total().unconfirmed_capacity);
 }
 
 bool Leader::zone_allows(const Job& job, const std::string& zone) const {
   const auto& spec = job.spec;
-  if (spec.rack_room && *spec.rack_room != zone) return false;
-  if (!spec.together && !spec.scatter) return true;
+  if (spec.zone && *spec.zone != zone) return false;
+  if (!spec.zone_affinity && !spec.zone_spread) return true;
   // Invariant 5: tasks of an unconfirmed machine are not known.
-  if (job.ready_stamp <= won_ && fleet_.total().unconfirmed > 0) return false;
-  const auto found = job.zones.find(zone);
-  const std::uint32_t here = found == job.zones.end() ? 0 : found->second;
-  if (spec.together && job.where.size() > here) return false;
-  return !spec.scatter || here < (spec.members + 1) / 2;
+  if (job.eligible_revision <= elected_at_revision_ && fleet_.total().unconfirmed > 0) return false;
+  const auto found = job.tasks_by_zone.find(zone);
+  const std::uint32_t here = found == job.tasks_by_zone.end() ? 0 : found->second;
+  if (spec.zone_affinity && job.task_machines.size() > here) return false;
+  return !spec.zone_spread || here < (spec.task_count + 1) / 2;
 }
 
 // One machine's end must not take too large a part of all services with it.
 bool Leader::crowded(const Machine& machine, const Job& job) const {
-  if (!job.service()) return false;
+  if (!job.is_service()) return false;
   // In a fleet of few large machines none with fewer ever comes: hundreds waited for minutes beside free
   // cores.
-  if (!job.begun() && loop().wall() - job.ready_at > kSpreadBoots * planner::longest_boot_s(flavors_))
+  if (!job.started() &&
+      loop().wall() - job.eligible_at > kSpreadBoots * planner::longest_boot_s(machine_types_))
     return false;
   const double most =
-      std::max(kServicesTogether * job.spec.need.cores, kServiceShare * quota_.service_cores());
-  return machine.service_cores + job.spec.need.cores > most + kRounding;
+      std::max(kServicesTogether * job.spec.request.cores, kServiceShare * quota_.service_cores());
+  return machine.service_cores + job.spec.request.cores > most + kRounding;
 }
 
 // Whether the task itself may be on the machine, whatever else waits.
-bool Leader::suits(const Machine& machine, const Job& job, const wire::MemberId& task) const {
-  return !job.failed_on.contains(machine.host) && !crowded(machine, job) &&
-         zone_allows(job, machine.rack_room) && !machine.leftovers.contains(task);
+bool Leader::suits(const Machine& machine, const Job& job, const wire::TaskId& task) const {
+  return !job.failed_on.contains(machine.id) && !crowded(machine, job) && zone_allows(job, machine.zone) &&
+         !machine.exited_attempts.contains(task);
 }
 
 // Whether room on the machine is for others: tasks were stopped there for another job, or it drains for one.
 // Also if tasks were stopped elsewhere for the job's last task, which would be in vain.
-bool Leader::reserved_for_others(const Machine& machine, const Job& job, wire::Rank priority,
+bool Leader::reserved_for_others(const Machine& machine, const Job& job, wire::Priority priority,
                                  double now) const {
-  const auto& id = job.spec.uid;
-  if (!made_room_.allows(machine.host, id, priority, job.spec.need, machine.room(), now)) return true;
-  if (job.service()) return false;
-  if (job.ready < 2 && made_room_.waits_elsewhere(id, machine.host, now)) return true;
-  return !kept_room_.allows(machine.host, id, now, task_s(job));
+  const auto& id = job.spec.id;
+  if (!preemption_reservations_.allows(machine.id, id, priority, job.spec.request, machine.available(), now))
+    return true;
+  if (job.is_service()) return false;
+  if (job.ready < 2 && preemption_reservations_.pending_elsewhere(id, machine.id, now)) return true;
+  return !backfill_reservations_.allows(machine.id, id, now, task_s(job));
 }
 
 double Leader::image_pull_s(const Job& job, const Pool& pool) const {
-  const auto* type = flavor(pool.flavor);
-  return type == nullptr || type->pull_gb_per_s <= 0 ? 0.0 : job.spec.size_gb / type->pull_gb_per_s;
+  const auto* type = find_machine_type(pool.machine_type);
+  return type == nullptr || type->image_pull_gb_per_s <= 0
+             ? 0.0
+             : job.spec.image_size_gb / type->image_pull_gb_per_s;
 }
 
 // Looks among the steady or the preemptible machines for one that takes the job's next task, and adds to
 // `search` why there is none.
 void Leader::pick(const Job& job, bool reclaimable, MachineSearch& search) {
   const double now = loop().now();
-  const auto priority = rank(job);
-  const wire::MemberId task{job.spec.uid, job.cursor};
+  const auto priority = effective_priority(job);
+  const wire::TaskId task{job.spec.id, job.cursor};
   // When zones are apart, the leader is where most controllers are: services elsewhere would end with their
   // machines' leases.
-  const bool prefers_main_zone = job.service() && !settings_.main_zone.empty();
+  const bool prefers_main_zone = job.is_service() && !settings_.main_zone.empty();
   bool reserved = false;
   bool unsuitable = false;
   model::Fleet::Choice choice{
       job.spec, reclaimable,
       // A service stays: on a large machine it would keep all of it rented.
-      job.service(), [&](const Pool& pool) { return image_pull_s(job, pool); },
+      job.is_service(), [&](const Pool& pool) { return image_pull_s(job, pool); },
       [&](const Pool& pool) {
-        return prefers_main_zone && pool.rack_room != settings_.main_zone ? settings_.pace_s : 0.0;
+        return prefers_main_zone && pool.zone != settings_.main_zone ? settings_.control_interval_s : 0.0;
       },
       [&](const Machine& machine) {
         const bool fine = suits(machine, job, task);
@@ -176,44 +184,45 @@
       },
       false};
   search.machine = fleet_.pick(choice);
-  search.own_reason = search.own_reason || unsuitable || (choice.passed && !reserved);
+  search.own_reason = search.own_reason || unsuitable || (choice.passed_over && !reserved);
   search.reserved = search.reserved || reserved;
 }
 
-void Leader::bind(Machine& machine, Job& job, std::uint32_t index) {
-  model::Bind bind;
-  bind.member = {job.spec.uid, index};
-  bind.try_no = wire::TryNo{(term_ << kTryBits) + ++tries_};
-  bind.owner = job.spec.owner;
-  bind.queue = job.spec.queue;
-  bind.rank = rank(job);
-  bind.service = job.service();
-  bind.largest = queue_.largest(job);
-  bind.need = job.spec.need;
-  bind.tenure = machine.tenure;
-  bind.since = loop().now();
-  job.set_mark(index, model::kBound);
-  note(job);
-  add_bind(machine, std::move(bind));
+void Leader::assign(Machine& machine, Job& job, std::uint32_t index) {
+  model::Assignment assignment;
+  assignment.task = {job.spec.id, index};
+  assignment.attempt = wire::AttemptNumber{(term_ << kAttemptBits) + ++attempts_};
+  assignment.team = job.spec.team;
+  assignment.job_class = job.spec.job_class;
+  assignment.priority = effective_priority(job);
+  assignment.service = job.is_service();
+  assignment.largest = queue_.largest(job);
+  assignment.request = job.spec.request;
+  assignment.agent_epoch = machine.agent_epoch;
+  assignment.assigned_at = loop().now();
+  job.set_mark(index, model::kAssigned);
+  update_queue_membership(job);
+  add_assignment(machine, std::move(assignment));
 }
 
 // Books what a batch task holds for its team and class, or with -1 gives it back.
-void Leader::hold(const model::Bind& bind, double sign) {
-  if (!bind.service) queue_.hold({bind.owner, bind.queue}, bind.largest, sign * bind.need.cores);
+void Leader::book(const model::Assignment& assignment, double sign) {
+  if (!assignment.service)
+    queue_.book({assignment.team, assignment.job_class}, assignment.largest, sign * assignment.request.cores);
 }
 
 // Books the task on the machine, for its team and for its job.
-void Leader::add_bind(Machine& machine, model::Bind bind) {
-  machine.used += bind.need;
-  if (bind.service) machine.service_cores += bind.need.cores;
-  quota_.add(bind);
-  hold(bind, 1);
-  if (const auto job = jobs_.find(bind.member.job); job != jobs_.end() && !bind.alien) {
-    job->second.where[bind.member.index] = machine.host;
-    ++job->second.zones[machine.rack_room];
+void Leader::add_assignment(Machine& machine, model::Assignment assignment) {
+  machine.used += assignment.request;
+  if (assignment.service) machine.service_cores += assignment.request.cores;
+  quota_.add(assignment);
+  book(assignment, 1);
+  if (const auto job = jobs_.find(assignment.task.job); job != jobs_.end() && !assignment.orphaned) {
+    job->second.task_machines[assignment.task.index] = machine.id;
+    ++job->second.tasks_by_zone[machine.zone];
   }
-  const auto member = bind.member;
-  machine.binds.emplace(member, std::move(bind));
+  const auto task_id = assignment.task;
+  machine.assignments.emplace(task_id, std::move(assignment));
   fleet_.refresh(machine);
 }
 
@@ -230,19 +239,19 @@
 
 // The paper's Algorithm 4: goes through the waiting jobs, best first, and starts their tasks where they fit.
 void Leader::place() {
-  if (!valid() || flavors_.empty() || loop().now() < blind_until_) return answer_awaiting();
-  act_on_replicas();
-  move_replicas();
+  if (!may_act() || machine_types_.empty() || loop().now() < unread_leases_until_) return answer_pending();
+  apply_gang_actions();
+  move_gangs();
   const auto& order = queue_.in_order({loop().now(), loop().wall()});
   place_with_next_order();
   PlacementTurn turn;
-  for (const auto& waiting : awaiting_) turn.answered_machines.insert(waiting.host);
+  for (const auto& waiting : pending_responses_) turn.answered_machines.insert(waiting.machine_id);
   for (const auto& candidate : order) {
     if (turn.binds_left <= 0) break;
     place_job(candidate, turn);
   }
   send_starts(turn);
-  answer_awaiting();
+  answer_pending();
   if (turn.tasks_wait) plan_soon();
   // Bounded, so that leases, reports and probes are never late behind thousands of tasks.
   if (turn.binds_left <= 0) place_soon();
@@ -258,19 +267,19 @@
 }
 
 void Leader::place_job(const queue::Candidate& candidate, PlacementTurn& turn) {
-  const bool has_reservation =
-      kept_room_.host_of(candidate.id) != nullptr || made_room_.on_its_way(candidate.id, loop().now());
+  const bool has_reservation = backfill_reservations_.machine_of(candidate.id) != nullptr ||
+                               preemption_reservations_.pending(candidate.id, loop().now());
   const bool hopeless = !has_reservation && turn.unplaceable.cover(candidate);
   // Thousands may wait in vain: only the first of them make room, the others cost a comparison.
-  if (hopeless && turn.preemptions_left == 0 && !replicas_.follows(candidate.id)) return;
+  if (hopeless && turn.preemptions_left == 0 && !gangs_.follows(candidate.id)) return;
   auto* const job = queue_.find(candidate.id);
   if (job == nullptr || !may_start(*job)) return;
-  if (replicas_.follows(job->spec.uid)) {
-    turn.binds_left -= place_replicas(*job, turn.starts);
+  if (gangs_.follows(job->spec.id)) {
+    turn.binds_left -= place_gangs(*job, turn.starts);
     turn.tasks_wait = turn.tasks_wait || placeable(*job) > 0;
     return;
   }
-  if (candidate.first_only && job->begun()) return;
+  if (candidate.first_only && job->started()) return;
   place_tasks(*job, candidate.first_only, hopeless, turn);
 }
 
@@ -285,7 +294,7 @@
     const auto search = hopeless ? MachineSearch{} : find_machine(job);
     if (search.machine == nullptr) return wait_for_machine(job, search, hopeless, turn);
     // A service that would have to wait for its image starts sooner where a batch makes room beside it.
-    if (job.service() && !search.machine->images.contains(job.spec.bundle) && make_room(job, true)) return;
+    if (job.is_service() && !search.machine->images.contains(job.spec.image) && preempt(job, true)) return;
     start_task(*search.machine, job, index, turn);
     if (first_only) return note_begun_early(job);
   }
@@ -296,7 +305,7 @@
   MachineSearch search;
   search.own_reason = needs_service_reserve(job);
   if (!search.own_reason) pick(job, false, search);
-  if (search.machine == nullptr && job.spec.reclaimable) pick(job, true, search);
+  if (search.machine == nullptr && job.spec.allows_preemptible) pick(job, true, search);
   return search;
 }
 
@@ -304,95 +313,97 @@
 // Except to the few for which a machine drains: what ends beside it goes to smaller ones, which fit above the
 // reserve sooner.
 bool Leader::needs_service_reserve(const Job& job) const {
-  if (job.service() || kept_room_.host_of(job.spec.uid) != nullptr) return false;
+  if (job.is_service() || backfill_reservations_.machine_of(job.spec.id) != nullptr) return false;
   double steady_free = 0;
   for (const auto& [pool, state] : fleet_.pools())
-    if (!pool.reclaimable) steady_free += state.sums.free_cores;
-  return steady_free - job.spec.need.cores < autoscaler_.reserved_cores() - kRounding;
+    if (!pool.preemptible) steady_free += state.sums.free_cores;
+  return steady_free - job.spec.request.cores < autoscaler_.reserved_cores() - kRounding;
 }
 
 // The job's next task found no machine: says why, and may make one drain or stop other tasks for it.
 void Leader::wait_for_machine(Job& job, const MachineSearch& search, bool hopeless, PlacementTurn& turn) {
   turn.tasks_wait = true;
-  if (!job.faulty) job.reason = kNoRoom;
-  if (!hopeless && !search.own_reason && !job.spec.flavors && !job.spec.rack_room)
-    turn.unplaceable.add({job.spec.need, job.spec.reclaimable, search.reserved ? task_s(job) : 0});
+  if (!job.faulty) job.reason = kNoMachineHasRoom;
+  if (!hopeless && !search.own_reason && !job.spec.machine_types && !job.spec.zone)
+    turn.unplaceable.add({job.spec.request, job.spec.allows_preemptible, search.reserved ? task_s(job) : 0});
   // Also when less is free in all than it needs, as in any full fleet.
-  if (queue_.overdue(job, loop().wall()) && keep_room(job)) job.reason = kDrains;
+  if (queue_.overdue(job, loop().wall()) && reserve_for_backfill(job)) job.reason = kDrains;
   if (job.faulty || turn.preemptions_left == 0) return;
   --turn.preemptions_left;
-  make_room(job, false);
+  preempt(job, false);
 }
 
 void Leader::start_task(Machine& machine, Job& job, std::uint32_t index, PlacementTurn& turn) {
-  bind(machine, job, index);
-  kept_room_.release(job.spec.uid);
-  made_room_.placed(job.spec.uid, machine.host, job.ready > 0);
+  assign(machine, job, index);
+  backfill_reservations_.release(job.spec.id);
+  preemption_reservations_.placed(job.spec.id, machine.id, job.ready > 0);
   --turn.binds_left;
-  const wire::MemberId task{job.spec.uid, index};
-  // A machine whose report waits for its answer gets the order with it.
-  if (!turn.answered_machines.contains(machine.host))
-    turn.starts[machine.host].push_back({Verb::start, task, machine.binds.at(task).try_no, 0});
+  const wire::TaskId task{job.spec.id, index};
+  // A machine whose heartbeat waits for its answer gets the order with it.
+  if (!turn.answered_machines.contains(machine.id))
+    turn.starts[machine.id].push_back({CommandType::start, task, machine.assignments.at(task).attempt, 0});
   if (job.ready == 0) job.reason.clear();
 }
 
 void Leader::note_begun_early(const Job& job) {
-  ++tally_["large jobs begun before others"];
-  log_->debug("job {}: begins before others, {:.0f} s after its waiting began", job.spec.uid.value,
-              loop().wall() - job.ready_at);
+  ++event_counts_["large jobs begun before others"];
+  log_->debug("job {}: begins before others, {:.0f} s after its waiting began", job.spec.id.value,
+              loop().wall() - job.eligible_at);
 }
 
 void Leader::send_starts(PlacementTurn& turn) {
-  for (auto& [host, orders] : turn.starts) {
+  for (auto& [host, commands] : turn.starts) {
     if (turn.answered_machines.contains(host)) continue;
-    if (auto* machine = fleet_.find(host)) send_direct(*machine, std::move(orders));
+    if (auto* machine = fleet_.find(host)) send_command(*machine, std::move(commands));
   }
 }
 
 // Chooses the machine that should have room for one of its tasks first, and keeps it: else smaller tasks pass
 // it for as long as they come. Says whether one is kept for it.
-bool Leader::keep_room(Job& job) {
+bool Leader::reserve_for_backfill(Job& job) {
   const double now = loop().now();
-  const auto drains = [](const Machine& machine) { return machine.takes_tasks() && !machine.quiet; };
-  if (const auto* host = kept_room_.host_of(job.spec.uid)) {
-    const auto* machine = fleet_.peek(*host);
-    if (machine == nullptr || !drains(*machine)) kept_room_.lose(wire::HostId{*host});
+  const auto drains = [](const Machine& machine) { return machine.takes_tasks() && !machine.overdue; };
+  if (const auto* machine_id = backfill_reservations_.machine_of(job.spec.id)) {
+    const auto* machine = fleet_.peek(*machine_id);
+    if (machine == nullptr || !drains(*machine))
+      backfill_reservations_.drop_machine(wire::MachineId{*machine_id});
   }
-  if (!kept_room_.wants(job.spec.uid, now)) return kept_room_.host_of(job.spec.uid) != nullptr;
+  if (!backfill_reservations_.wants(job.spec.id, now))
+    return backfill_reservations_.machine_of(job.spec.id) != nullptr;
   const Machine* best = nullptr;
   double best_at = std::numeric_limits<double>::max();
-  fleet_.visit_after(keep_cursor_, kRoomLook, [&](const Machine& machine) {
-    if (!drains(machine) || kept_room_.kept(machine.host)) return;
-    if (!could_run_on(machine, job) || job.failed_on.contains(machine.host)) return;
-    const auto at = has_room_at(machine, job.spec.need);
+  fleet_.visit_after(backfill_cursor_, kRoomLook, [&](const Machine& machine) {
+    if (!drains(machine) || backfill_reservations_.reserved(machine.id)) return;
+    if (!could_run_on(machine, job) || job.failed_on.contains(machine.id)) return;
+    const auto at = has_room_at(machine, job.spec.request);
     if (!at || *at >= best_at) return;
     best = &machine;
     best_at = *at;
   });
   if (best == nullptr) return false;
-  kept_room_.keep(job.spec.uid, best->host, best_at);
-  ++tally_["machines kept for large tasks"];
+  backfill_reservations_.reserve(job.spec.id, best->id, best_at);
+  ++event_counts_["machines kept for large tasks"];
   log_->debug("job {}: waits for {:.0f} s, machine {} drains for it and should have room in {:.0f} s",
-              job.spec.uid.value, loop().wall() - job.ready_at, best->host.value, best_at - now);
+              job.spec.id.value, loop().wall() - job.eligible_at, best->id.value, best_at - now);
   return true;
 }
 
 // When enough of the machine's tasks should have ended, by their estimated runtimes; nothing if they do not.
-std::optional<double> Leader::has_room_at(const Machine& machine, const wire::Amounts& request) const {
+std::optional<double> Leader::has_room_at(const Machine& machine, const wire::Resources& request) const {
   struct Ending {
     double at = 0;
-    wire::Amounts resources;
+    wire::Resources resources;
   };
   const double now = loop().now();
   std::vector<Ending> endings;
-  for (const auto& [member, bind] : machine.binds) {
-    const auto job = jobs_.find(member.job);
-    if (job == jobs_.end() || (bind.service && !bind.stopping)) continue;
-    const double remaining_s = std::max(0.0, task_s(job->second) - bind.running_s(now));
-    endings.push_back({bind.stopping ? now : now + remaining_s, bind.need});
+  for (const auto& [task_id, assignment] : machine.assignments) {
+    const auto job = jobs_.find(task_id.job);
+    if (job == jobs_.end() || (assignment.service && !assignment.stopping)) continue;
+    const double remaining_s = std::max(0.0, task_s(job->second) - assignment.running_s(now));
+    endings.push_back({assignment.stopping ? now : now + remaining_s, assignment.request});
   }
   std::sort(endings.begin(), endings.end(), [](const Ending& a, const Ending& b) { return a.at < b.at; });
-  auto room = machine.room();
+  auto room = machine.available();
   double at = now;
   for (const auto& ending : endings) {
     if (request.fits(room)) break;
@@ -402,19 +413,19 @@
   return request.fits(room) ? std::optional(at) : std::nullopt;
 }
 
-void Leader::answer_awaiting() {
-  for (auto& waiting : std::exchange(awaiting_, {})) {
-    auto* machine = fleet_.find(waiting.host);
-    if (machine == nullptr || !valid())
+void Leader::answer_pending() {
+  for (auto& waiting : std::exchange(pending_responses_, {})) {
+    auto* machine = fleet_.find(waiting.machine_id);
+    if (machine == nullptr || !may_act())
       waiting.reply({});
     else
-      answer_report(*machine, waiting.counter, waiting.reply);
+      answer_heartbeat(*machine, waiting.sequence, waiting.reply);
   }
 }
 
 // Preemption: stops tasks that the selector chooses on one machine, so that a task of the job can start.
 // `with_image`: only where the image is. Says whether room is on its way.
-bool Leader::make_room(Job& job, bool with_image) {
+bool Leader::preempt(Job& job, bool with_image) {
   const double now = loop().now();
   switch (preemption_state(job, with_image)) {
     case PreemptionState::room_coming:
@@ -424,20 +435,21 @@
     case PreemptionState::may_search:
       break;
   }
-  job.sought_room_at = now;
-  const Preemptor preemptor{job, rank(job), may_reclaim_borrowed(job)};
+  job.preemption_tried_at = now;
+  const Preemptor preemptor{job, effective_priority(job), may_reclaim_borrowed(job)};
   if (!preemptor.reclaims_borrowed && quota_.cores_below(preemptor.priority) < kRounding) return false;
   const auto allowed = [&](const Machine& machine) {
-    if (made_room_.made(machine.host, now) || !could_run_on(machine, job)) return false;
-    return (!with_image || machine.images.contains(job.spec.bundle)) && !crowded(machine, job);
+    if (preemption_reservations_.reserved(machine.id, now) || !could_run_on(machine, job)) return false;
+    return (!with_image || machine.images.contains(job.spec.image)) && !crowded(machine, job);
   };
   // A part of the fleet at a time, going round: the best of some dozens is hardly worse than the best of all.
   const auto chosen = victim_selector_.choose(fleet_, kRoomLook, preemptor, allowed, now);
   if (!chosen) return false;
-  job.made_room_at = now;
-  job.room_has_image = !chosen->cost.lacks_image;
-  made_room_.make(job.spec.uid, chosen->machine_id, preemptor.priority, job.spec.need, now,
-                  now + (job.service() ? kServiceRoomPaces : kRoomPaces) * settings_.pace_s);
+  job.preempted_at = now;
+  job.preempted_room_has_image = !chosen->cost.lacks_image;
+  preemption_reservations_.reserve(
+      job.spec.id, chosen->machine_id, preemptor.priority, job.spec.request, now,
+      now + (job.is_service() ? kServiceRoomPaces : kRoomPaces) * settings_.control_interval_s);
   stop_victims(*chosen, job);
   return true;
 }
@@ -446,46 +458,49 @@
 Leader::PreemptionState Leader::preemption_state(const Job& job, bool with_image) const {
   const double now = loop().now();
   // What was stopped for it before is on its way.
-  if (now - job.made_room_at < settings_.pace_s) {
+  if (now - job.preempted_at < settings_.control_interval_s) {
     // Room made where the image is not is all that it gets: waiting on for a better one, a service left it to
-    // the next batch and made room again each pace, 20 s down after its machine died (lakaskalk, troubles).
-    const bool comes = now - job.made_room_at < kRoomComes * settings_.pace_s;
-    return comes && (!with_image || job.room_has_image) ? PreemptionState::room_coming
-                                                        : PreemptionState::wait;
+    // the next batch and made room again each control interval, 20 s down after its machine died (lakaskalk,
+    // troubles).
+    const bool comes = now - job.preempted_at < kRoomComes * settings_.control_interval_s;
+    return comes && (!with_image || job.preempted_room_has_image) ? PreemptionState::room_coming
+                                                                  : PreemptionState::wait;
   }
-  if (job.service()) return PreemptionState::may_search;
-  if (made_room_.on_its_way(job.spec.uid, now)) return PreemptionState::room_coming;
+  if (job.is_service()) return PreemptionState::may_search;
+  if (preemption_reservations_.pending(job.spec.id, now)) return PreemptionState::room_coming;
   // A batch in a flood is one of thousands that look for room at each event.
-  return now - job.sought_room_at < kRoomAgain * settings_.pace_s ? PreemptionState::wait
-                                                                  : PreemptionState::may_search;
+  return now - job.preemption_tried_at < kRoomAgain * settings_.control_interval_s
+             ? PreemptionState::wait
+             : PreemptionState::may_search;
 }
 
 // Stopped work is mostly lost, and borrowed room comes back by itself as tasks end: taken back by force is
 // only what long tasks would not give back soon, when a whole round has not brought enough.
 bool Leader::may_reclaim_borrowed(const Job& job) const {
-  return within_guarantee(job) && loop().wall() - job.ready_at > settings_.round_s &&
-         quota_.others_borrow(job.spec.owner);
+  return within_guarantee(job) && loop().wall() - job.eligible_at > settings_.round_s &&
+         quota_.others_borrow(job.spec.team);
 }
 
 // Whether the machine could run a task of the job if it were empty.
 bool Leader::could_run_on(const Machine& machine, const Job& job) const {
-  return model::allows(job.spec, {machine.flavor, machine.rack_room, machine.reclaimable}) &&
-         zone_allows(job, machine.rack_room) && job.spec.need.fits(machine.size);
+  return model::allows(job.spec, {machine.machine_type, machine.zone, machine.preemptible}) &&
+         zone_allows(job, machine.zone) && job.spec.request.fits(machine.capacity);
 }
 
 void Leader::stop_victims(const PreemptionCandidate& chosen, const Job& job) {
   auto& machine = *fleet_.find(chosen.machine_id);
   for (const auto& victim : chosen.victims) {
-    if (const auto span = replicas_.board().span(victim.job); span > 1) {  // whole, or not at all
-      replicas_.board().evict({victim.job, victim.index / span}, loop().now());
+    if (const auto span = gangs_.tracker().span(victim.job); span > 1) {  // whole, or not at all
+      gangs_.tracker().evict({victim.job, victim.index / span}, loop().now());
       continue;
     }
     const auto& spec = jobs_.at(victim.job).spec;
-    log_->debug("job {}: {} makes room for it", job.spec.uid.value, victim.text());
-    ++tally_["tasks made room"];
-    stop(machine, machine.binds.at(victim), spec.snapshot_every_s > 0 ? spec.flush_s : 0);
+    log_->debug("job {}: {} makes room for it", job.spec.id.value, victim.text());
+    ++event_counts_["tasks made room"];
+    stop_task(machine, machine.assignments.at(victim),
+              spec.checkpoint_interval_s > 0 ? spec.checkpoint_duration_s : 0);
   }
-  act_on_replicas();
+  apply_gang_actions();
 }
 
 }  // namespace bankhill::leader
--- a/src/leader/preemption.cpp
+++ b/src/leader/preemption.cpp
@@ -3,56 +3,56 @@
 #include <algorithm>
 #include <limits>
 
-#include "queue/due.hpp"
+#include "queue/deadline.hpp"
 
 namespace bankhill::leader {
 
 namespace {
 
 // Seconds that a task of the job will still run. Services do not end.
-double remaining_s(const model::Job& job, const model::Bind& assignment, double now) {
-  if (job.service()) return std::numeric_limits<double>::max();
+double remaining_s(const model::Job& job, const model::Assignment& assignment, double now) {
+  if (job.is_service()) return std::numeric_limits<double>::max();
   return queue::task_s(job) - assignment.running_s(now);
 }
 
 // Room that is on its way there is meant for another.
 bool is_stopping_tasks(const model::Machine& machine) {
-  return std::any_of(machine.binds.begin(), machine.binds.end(),
+  return std::any_of(machine.assignments.begin(), machine.assignments.end(),
                      [](const auto& entry) { return entry.second.stopping; });
 }
 
 }  // namespace
 
-VictimSelector::VictimSelector(const Jobs& jobs, const model::Waits& dependencies, const QuotaLedger& quota,
-                               double long_task_s)
+VictimSelector::VictimSelector(const Jobs& jobs, const model::DependencyGraph& dependencies,
+                               const QuotaLedger& quota, double long_task_s)
     : jobs_(jobs), dependencies_(dependencies), quota_(quota), long_task_s_(long_task_s) {}
 
 std::optional<PreemptionCandidate> VictimSelector::victims_on(const model::Machine& machine,
                                                               const Preemptor& preemptor, double now) const {
   if (is_stopping_tasks(machine)) return std::nullopt;
   const auto& spec = preemptor.job.spec;
-  PreemptionCandidate candidate{machine.host, {}, {!machine.images.contains(spec.bundle), 0}};
-  auto room = machine.room();
-  for (const auto& [task, assignment] : machine.binds) {
-    if (spec.need.fits(room)) break;
+  PreemptionCandidate candidate{machine.id, {}, {!machine.images.contains(spec.image), 0}};
+  auto room = machine.available();
+  for (const auto& [task, assignment] : machine.assignments) {
+    if (spec.request.fits(room)) break;
     const auto victim = jobs_.find(task.job);
-    if (victim == jobs_.end() || assignment.owner.empty()) continue;
+    if (victim == jobs_.end() || assignment.team.empty()) continue;
     if (!may_stop(assignment, victim->second, preemptor, now)) continue;
-    room += assignment.need;
+    room += assignment.request;
     candidate.victims.push_back(task);
-    candidate.cost.lost_core_s += assignment.running_s(now) * assignment.need.cores;
+    candidate.cost.lost_core_s += assignment.running_s(now) * assignment.request.cores;
   }
-  if (candidate.victims.empty() || !spec.need.fits(room)) return std::nullopt;
+  if (candidate.victims.empty() || !spec.request.fits(room)) return std::nullopt;
   return candidate;
 }
 
-bool VictimSelector::may_stop(const model::Bind& assignment, const model::Job& victim,
+bool VictimSelector::may_stop(const model::Assignment& assignment, const model::Job& victim,
                               const Preemptor& preemptor, double now) const {
-  if (dependencies_.rank(victim.spec.uid, victim.spec.rank) < preemptor.priority) return true;
-  if (!preemptor.reclaims_borrowed || assignment.owner == preemptor.job.spec.owner) return false;
+  if (dependencies_.priority(victim.spec.id, victim.spec.priority) < preemptor.priority) return true;
+  if (!preemptor.reclaims_borrowed || assignment.team == preemptor.job.spec.team) return false;
   // A team's services count towards its guarantee first: it is its batches that borrow. Stopped for that,
   // services were down all day while their team's batches went on (lakaskalk-grown).
-  if (!quota_.borrows(assignment.owner, assignment.service)) return false;
+  if (!quota_.borrows(assignment.team, assignment.service)) return false;
   return remaining_s(victim, assignment, now) > long_task_s_;
 }
 
@@ -61,7 +61,7 @@
                                                           const MachineFilter& allowed, double now) {
   std::optional<PreemptionCandidate> best;
   fleet.visit_after(cursor_, machine_count, [&](const model::Machine& machine) {
-    if (!machine.takes_tasks() || machine.quiet || !allowed(machine)) return;
+    if (!machine.takes_tasks() || machine.overdue || !allowed(machine)) return;
     auto candidate = victims_on(machine, preemptor, now);
     if (candidate && (!best || candidate->cost < best->cost)) best = std::move(candidate);
   });
--- a/src/leader/preemption.hpp
+++ b/src/leader/preemption.hpp
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "leader/quota_ledger.hpp"
+#include "model/dependency_graph.hpp"
 #include "model/fleet.hpp"
 #include "model/job.hpp"
-#include "model/waits.hpp"
 
 namespace bankhill::leader {
 
@@ -24,16 +24,16 @@
 };
 
 struct PreemptionCandidate {
-  wire::HostId machine_id;
-  std::vector<wire::MemberId> victims;
+  wire::MachineId machine_id;
+  std::vector<wire::TaskId> victims;
   PreemptionCost cost;
 };
 
 // The waiting job, and what gives it the right to stop others.
 struct Preemptor {
   const model::Job& job;
-  wire::Rank priority = wire::Rank::normal;  // with that of the jobs that depend on it
-  bool reclaims_borrowed = false;            // also what other teams hold above their guarantees
+  wire::Priority priority = wire::Priority::normal;  // with that of the jobs that depend on it
+  bool reclaims_borrowed = false;                    // also what other teams hold above their guarantees
 };
 
 class VictimSelector {
@@ -44,7 +44,7 @@
 
   // Borrowed resources are reclaimed only from tasks that would run on for longer than `long_task_s`. The
   // references must outlive this object.
-  VictimSelector(const Jobs& jobs, const model::Waits& dependencies, const QuotaLedger& quota,
+  VictimSelector(const Jobs& jobs, const model::DependencyGraph& dependencies, const QuotaLedger& quota,
                  double long_task_s);
 
   // The tasks to stop on this machine; nothing if that makes no room, or is not needed.
@@ -56,14 +56,14 @@
                                             double now);
 
  private:
-  bool may_stop(const model::Bind& assignment, const model::Job& victim, const Preemptor& preemptor,
+  bool may_stop(const model::Assignment& assignment, const model::Job& victim, const Preemptor& preemptor,
                 double now) const;
 
   const Jobs& jobs_;
-  const model::Waits& dependencies_;
+  const model::DependencyGraph& dependencies_;
   const QuotaLedger& quota_;
   double long_task_s_;
-  wire::HostId cursor_;  // the machine looked at last
+  wire::MachineId cursor_;  // the machine looked at last
 };
 
 }  // namespace bankhill::leader
--- a/src/leader/quota_ledger.cpp
+++ b/src/leader/quota_ledger.cpp
@@ -8,22 +8,22 @@
 namespace {
 constexpr double kRounding = 1e-6;
 const std::string kUnknownTeam;    // of tasks whose jobs are not known
-constexpr double kBoundSteps = 8;  // into which a team's limit is divided (shares/bounds.hpp)
+constexpr double kBoundSteps = 8;  // into which a team's limit is divided (fair_share/quota_high_water.hpp)
 
-std::map<std::string, wire::Amounts> limits_of(const std::vector<Team>& teams) {
-  std::map<std::string, wire::Amounts> limits;
+std::map<std::string, wire::Resources> limits_of(const std::vector<Team>& teams) {
+  std::map<std::string, wire::Resources> limits;
   for (const auto& team : teams) limits[team.name] = team.limit;
   return limits;
 }
 
 // Quotas are of cores and accelerators; memory is not limited.
-bool within(const wire::Amounts& total, const wire::Amounts& quota) {
+bool within(const wire::Resources& total, const wire::Resources& quota) {
   return total.cores <= quota.cores + kRounding && total.accelerators <= quota.accelerators + kRounding;
 }
 
 bool exceeds_guarantee(const Team& team, double cores) { return cores > team.guarantee.cores + kRounding; }
 
-std::size_t index_of(wire::Rank priority) { return static_cast<std::size_t>(priority); }
+std::size_t index_of(wire::Priority priority) { return static_cast<std::size_t>(priority); }
 }  // namespace
 
 QuotaLedger::QuotaLedger(std::vector<Team> teams)
@@ -35,8 +35,8 @@
   return found == teams_.end() ? nullptr : &*found;
 }
 
-void QuotaLedger::begin_term(const std::optional<wire::BoundsRecord>& record, std::uint64_t fencing_token) {
-  bounds_.begin(record, fencing_token);
+void QuotaLedger::begin_term(const std::optional<wire::QuotaRecord>& record, std::uint64_t fencing_token) {
+  bounds_.begin_term(record, fencing_token);
 }
 
 void QuotaLedger::clear() {
@@ -45,26 +45,26 @@
   service_cores_ = 0;
 }
 
-void QuotaLedger::add(const model::Bind& assignment) {
-  auto& usage = usage_[assignment.owner];
-  usage.total += assignment.need;
-  count_cores(assignment, usage, assignment.need.cores);
+void QuotaLedger::add(const model::Assignment& assignment) {
+  auto& usage = usage_[assignment.team];
+  usage.total += assignment.request;
+  count_cores(assignment, usage, assignment.request.cores);
 }
 
-void QuotaLedger::remove(const model::Bind& assignment) {
-  auto& usage = usage_[assignment.owner];
-  usage.total -= assignment.need;
-  count_cores(assignment, usage, -assignment.need.cores);
+void QuotaLedger::remove(const model::Assignment& assignment) {
+  auto& usage = usage_[assignment.team];
+  usage.total -= assignment.request;
+  count_cores(assignment, usage, -assignment.request.cores);
 }
 
-void QuotaLedger::count_cores(const model::Bind& assignment, Usage& usage, double cores) {
-  cores_by_priority_.at(index_of(assignment.rank)) += cores;
+void QuotaLedger::count_cores(const model::Assignment& assignment, Usage& usage, double cores) {
+  cores_by_priority_.at(index_of(assignment.priority)) += cores;
   if (!assignment.service) return;
   usage.service_cores += cores;
   service_cores_ += cores;
 }
 
-void QuotaLedger::inherited_task_seen(const std::string& team, const wire::Amounts& request) {
+void QuotaLedger::inherited_task_seen(const std::string& team, const wire::Resources& request) {
   bounds_.seen(team, request);
 }
 
@@ -73,22 +73,23 @@
   return found == usage_.end() ? Usage{} : found->second;
 }
 
-double QuotaLedger::cores_below(wire::Rank priority) const {
+double QuotaLedger::cores_below(wire::Priority priority) const {
   double cores = 0;
   for (std::size_t lower = 0; lower < index_of(priority); ++lower) cores += cores_by_priority_.at(lower);
   return cores;
 }
 
-wire::Amounts QuotaLedger::highest_usage(const std::string& team,
-                                         const wire::Amounts& unconfirmed_size) const {
+wire::Resources QuotaLedger::highest_usage(const std::string& team,
+                                           const wire::Resources& unconfirmed_size) const {
   auto total = usage(team).total;
   total += bounds_.unseen(team, unconfirmed_size);
   total += usage(kUnknownTeam).total;
   return total;
 }
 
-Admission QuotaLedger::admit(const std::string& team, const wire::Amounts& request, std::uint32_t task_count,
-                             const wire::Amounts& unconfirmed_size, std::uint64_t fencing_token) {
+Admission QuotaLedger::admit(const std::string& team, const wire::Resources& request,
+                             std::uint32_t task_count, const wire::Resources& unconfirmed_size,
+                             std::uint64_t fencing_token) {
   const auto* found = find_team(team);
   if (found == nullptr) return Admission::over_limit;
   auto total = highest_usage(team, unconfirmed_size);
@@ -98,8 +99,8 @@
   return bounds_.covers(team, total, fencing_token) ? Admission::allowed : Admission::bound_not_covered;
 }
 
-bool QuotaLedger::within_guarantee(const std::string& team, const wire::Amounts& request,
-                                   const wire::Amounts& unconfirmed_size) const {
+bool QuotaLedger::within_guarantee(const std::string& team, const wire::Resources& request,
+                                   const wire::Resources& unconfirmed_size) const {
   const auto* found = find_team(team);
   if (found == nullptr) return false;
   auto total = usage(team).total;
@@ -121,9 +122,9 @@
   return exceeds_guarantee(*found, by_services ? used.service_cores : used.total.cores);
 }
 
-std::optional<wire::BoundsRecord> QuotaLedger::next_record(const wire::Amounts& unconfirmed_size,
-                                                           std::uint64_t fencing_token, bool may_lower) {
-  std::map<std::string, wire::Amounts> used;
+std::optional<wire::QuotaRecord> QuotaLedger::next_record(const wire::Resources& unconfirmed_size,
+                                                          std::uint64_t fencing_token, bool may_lower) {
+  std::map<std::string, wire::Resources> used;
   for (const auto& team : teams_) used[team.name] = highest_usage(team.name, unconfirmed_size);
   return bounds_.next(used, fencing_token, may_lower);
 }
--- a/src/leader/reachability_probe.cpp
+++ b/src/leader/reachability_probe.cpp
@@ -56,7 +56,7 @@
 }
 
 // Empty if there are too few.
-std::vector<wire::HostId> ReachabilityProbe::pick_machines() {
+std::vector<wire::MachineId> ReachabilityProbe::pick_machines() {
   auto machine_ids = ports_.candidates();
   if (machine_ids.size() < kSmallestSample) return {};
   std::shuffle(machine_ids.begin(), machine_ids.end(), loop_.random());
@@ -64,14 +64,14 @@
   return machine_ids;
 }
 
-void ReachabilityProbe::start_sample(const std::vector<wire::HostId>& machine_ids) {
+void ReachabilityProbe::start_sample(const std::vector<wire::MachineId>& machine_ids) {
   sample_ = {};
   sample_.size = sample_.outstanding = machine_ids.size();
   for (const auto& machine_id : machine_ids)
     ports_.send_probe(machine_id, [this, machine_id] { probe_done(machine_id); });
 }
 
-void ReachabilityProbe::probe_done(const wire::HostId& machine_id) {
+void ReachabilityProbe::probe_done(const wire::MachineId& machine_id) {
   const auto state = ports_.machine_state(machine_id);
   if (state && state->unanswered) count_unanswered(*state);
   // A request of an earlier term may end in this one, where it belongs to no sample.
@@ -85,7 +85,8 @@
   const double lost_at = state.peer_response_lost_at;
   if (failing_since_ && std::max(arrived_at, lost_at) >= *failing_since_)
     ++(arrived_at >= lost_at ? sample_.downlink_alive : sample_.downlink_lost);
-  const double uplink_lost_after_s = kUplinkLostWaits * net::kWorkerWaitS + settings_.heartbeat_interval_s;
+  const double uplink_lost_after_s =
+      kUplinkLostWaits * net::kWorkerResponseTimeoutS + settings_.heartbeat_interval_s;
   if (loop_.now() - state.last_heartbeat_at > uplink_lost_after_s) ++sample_.uplink_lost;
 }
 
@@ -122,7 +123,7 @@
   // One that hears no peer is on the smaller side of a partition: there is nobody from whom more could be
   // learned, and those that are not reached are soon no part of the sample any more.
   if (!ports_.peer_heard()) return false;
-  return now - *failing_since_ < kEvidenceWaits * net::kWorkerWaitS;
+  return now - *failing_since_ < kEvidenceWaits * net::kWorkerResponseTimeoutS;
 }
 
 }  // namespace bankhill::leader
--- a/src/leader/reachability_probe.hpp
+++ b/src/leader/reachability_probe.hpp
@@ -36,11 +36,11 @@
   // What it needs of the leader.
   struct Ports {
     // Machines that are expected to answer a direct request.
-    std::function<std::vector<wire::HostId>()> candidates;
+    std::function<std::vector<wire::MachineId>()> candidates;
     // Sends a direct request without commands; calls `done` once it was answered or given up.
-    std::function<void(const wire::HostId& machine_id, std::function<void()> done)> send_probe;
+    std::function<void(const wire::MachineId& machine_id, std::function<void()> done)> send_probe;
     // Nothing if the machine is no longer known: it then counts as one that answered.
-    std::function<std::optional<MachineState>(const wire::HostId& machine_id)> machine_state;
+    std::function<std::optional<MachineState>(const wire::MachineId& machine_id)> machine_state;
     // Whether any other controller is heard.
     std::function<bool()> peer_heard;
     std::function<void()> resign;
@@ -71,9 +71,9 @@
 
   void age_suspicions(double now);
   bool sample_due(double now, double term_began_at) const;
-  std::vector<wire::HostId> pick_machines();
-  void start_sample(const std::vector<wire::HostId>& machine_ids);
-  void probe_done(const wire::HostId& machine_id);
+  std::vector<wire::MachineId> pick_machines();
+  void start_sample(const std::vector<wire::MachineId>& machine_ids);
+  void probe_done(const wire::MachineId& machine_id);
   void count_unanswered(const MachineState& state);
   void judge_sample();
   bool wait_for_evidence(double now) const;
--- a/src/leader/intents.cpp
+++ b/src/leader/records.cpp
@@ -9,15 +9,15 @@
 using state::FlushDelay;
 using wire::Json;
 
-// A key of this reign's that has gone was made once more by a transaction that came late: its condition, that
+// A key of this term's that has gone was made once more by a transaction that came late: its condition, that
 // there is none, was true again. The next leader would take it for what is.
-void Leader::drop_stray(const std::string& key) {
+void Leader::drop_stray_record(const std::string& key) {
   if (is_stray(key) && !writes_.contains(key)) writes_.store(key, std::nullopt, FlushDelay::garbage);
 }
 
 bool Leader::is_stray(const std::string& key) const {
-  if (key.starts_with(wire::kRentals + rental_manager_.name_prefix()))
-    return !rental_manager_.knows(key.substr(wire::kRentals.size()));
+  if (key.starts_with(wire::kRentalKeyPrefix + rental_manager_.name_prefix()))
+    return !rental_manager_.knows(key.substr(wire::kRentalKeyPrefix.size()));
   return machine_groups_.is_dropped(key) || completion_bitmaps_.is_dropped(key);
 }
 
@@ -28,40 +28,40 @@
     return completion_bitmaps_.prepare(*number, write);
   if (!write.data || wire::stored_bytes(*write.data) <= writes_.value_limit())
     return state::WritePreparation::ready;
-  if (key.starts_with(wire::kRentals)) {
-    // Without its hosts a new leader asks the cloud for them under the same name.
+  if (key.starts_with(wire::kRentalKeyPrefix)) {
+    // Without its machines a new leader asks the cloud for them under the same name.
     write.data->erase("hosts");
-  } else if (key.starts_with(wire::kJobs)) {
+  } else if (key.starts_with(wire::kJobKeyPrefix)) {
     const auto record = wire::parse_job_record(*write.data);
-    write.data = wire::final_json(record, record.phase, record.ended_at, writes_.value_limit());
+    write.data = wire::final_record_json(record, record.state, record.ended_at, writes_.value_limit());
   }
   return state::WritePreparation::ready;
 }
 
-bool Leader::may_write() const { return valid(); }
+bool Leader::may_write() const { return may_act(); }
 
 const Job* Leader::recorded_job(const std::string& key) const {
-  const auto found = jobs_.find(wire::JobId{key.substr(wire::kJobs.size())});
+  const auto found = jobs_.find(wire::JobId{key.substr(wire::kJobKeyPrefix.size())});
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-wire::Stamp Leader::expected_revision(const std::string& key) const {
-  if (!key.starts_with(wire::kJobs)) return view_.stamp(key);
+wire::KeyRevision Leader::expected_revision(const std::string& key) const {
+  if (!key.starts_with(wire::kJobKeyPrefix)) return cache_.revision(key);
   const auto* found = recorded_job(key);
-  return found == nullptr ? wire::Stamp{} : found->stamp;
+  return found == nullptr ? wire::KeyRevision{} : found->revision;
 }
 
 // Of jobs those that are over, done by us or cancelled.
 bool Leader::is_final(const std::string& key) const {
-  if (!key.starts_with(wire::kJobs)) return false;
+  if (!key.starts_with(wire::kJobKeyPrefix)) return false;
   const auto* found = recorded_job(key);
-  return found == nullptr || found->over();
+  return found == nullptr || found->ended();
 }
 
 // What a job's record holds is known from its phase alone (is_final).
 bool Leader::holds(const std::string& key, const std::optional<Json>& data) const {
-  if (key.starts_with(wire::kJobs)) return false;
-  const auto* entry = view_.find(key);
+  if (key.starts_with(wire::kJobKeyPrefix)) return false;
+  const auto* entry = cache_.find(key);
   return data ? entry != nullptr && entry->data == *data : entry == nullptr;
 }
 
@@ -69,27 +69,28 @@
 // of theirs waits for the machines (lakaskalk-ops, the first half minute). So does the end of a job that
 // others wait for.
 bool Leader::is_urgent(const std::string& key) const {
-  if (key.starts_with(wire::kRentals) || key == wire::kBoundsKey) return true;
-  return key.starts_with(wire::kJobs) && waits_.awaited(wire::JobId{key.substr(wire::kJobs.size())});
+  if (key.starts_with(wire::kRentalKeyPrefix) || key == wire::kQuotaKey) return true;
+  return key.starts_with(wire::kJobKeyPrefix) &&
+         dependencies_.awaited(wire::JobId{key.substr(wire::kJobKeyPrefix.size())});
 }
 
 void Leader::apply_committed(const state::Change& change) {
-  if (change.key.starts_with(wire::kJobs))
+  if (change.key.starts_with(wire::kJobKeyPrefix))
     learn_job(change);
   else
-    view_.apply(change);
+    cache_.apply(change);
 }
 
 void Leader::after_commit() {
-  take_waits_news();
+  apply_dependency_updates();
   drop_final();
 }
 
-void Leader::record(model::Machine& machine) {
+void Leader::record_machine(model::Machine& machine) {
   if (std::exchange(machine.recording, true)) return;
   // Invariant 4: it takes tasks only once this is committed.
-  machine_groups_.add(machine, [this, host = machine.host] {
-    auto* found = fleet_.find(host);
+  machine_groups_.add(machine, [this, machine_id = machine.id] {
+    auto* found = fleet_.find(machine_id);
     if (found == nullptr) return;
     found->recorded = true;
     // No earlier leader could use it: it needs no confirmation (invariant 5).
--- a/src/leader/rental_manager.cpp
+++ b/src/leader/rental_manager.cpp
@@ -14,7 +14,7 @@
 const std::string kFailedReason = "failed by the cloud's list";
 }  // namespace
 
-void TerminatedMachines::add(const wire::HostId& machine_id, double now) {
+void TerminatedMachines::add(const wire::MachineId& machine_id, double now) {
   while (!by_time_.empty() && now - by_time_.front().at > retention_s_) {
     machine_ids_.erase(by_time_.front().machine_id);
     by_time_.pop_front();
@@ -69,19 +69,19 @@
 
 void RentalManager::visit_requested(const std::function<void(const wire::RentalRecord&)>& call) const {
   for (const auto& [name, rental] : rentals_)
-    if (!rental.record.hosts) call(rental.record);
+    if (!rental.record.machine_ids) call(rental.record);
 }
 
 bool RentalManager::any_requested() const {
   return std::any_of(rentals_.begin(), rentals_.end(),
-                     [](const auto& entry) { return !entry.second.record.hosts; });
+                     [](const auto& entry) { return !entry.second.record.machine_ids; });
 }
 
 // Machines that may be rented before the fleet is as large as the controllers can take the heartbeats of: a
 // fleet beyond that would not be served worse, but not at all.
 double RentalManager::room_for_machines() {
   const auto& total = fleet_.total();
-  double there = static_cast<double>(total.up + total.coming);
+  double there = static_cast<double>(total.up + total.booting);
   visit_requested([&there](const wire::RentalRecord& record) { there += record.count; });
   const double room = static_cast<double>(settings_.machine_limit) - there;
   const bool full = room < 1;
@@ -93,10 +93,10 @@
   return std::max(0.0, room);
 }
 
-std::vector<std::string> RentalManager::zones_to_ask(const wire::Flavor& machine_type, bool preemptible,
+std::vector<std::string> RentalManager::zones_to_ask(const wire::MachineType& machine_type, bool preemptible,
                                                      const std::string& zone) const {
   std::vector<std::string> zones;
-  for (const auto& each : machine_type.rack_rooms) {
+  for (const auto& each : machine_type.zones) {
     if (!zone.empty() && each != zone) continue;
     if (capacity_backoff_.may_ask({machine_type.name, each, preemptible}, loop_.now())) zones.push_back(each);
   }
@@ -106,13 +106,13 @@
     return {settings_.main_zone};
   // Evenly over the zones, beginning with the one that has the fewest.
   std::map<std::string, double> cores;
-  for (const auto& [pool, state] : fleet_.pools()) cores[pool.rack_room] += state.sums.cores;
+  for (const auto& [pool, state] : fleet_.pools()) cores[pool.zone] += state.sums.cores;
   std::sort(zones.begin(), zones.end(),
             [&](const std::string& a, const std::string& b) { return cores[a] < cores[b]; });
   return zones;
 }
 
-double RentalManager::request(const wire::Flavor& machine_type, bool preemptible, double count,
+double RentalManager::request(const wire::MachineType& machine_type, bool preemptible, double count,
                               const std::string& zone) {
   count = std::min(count, room_for_machines());
   if (count < 1) return 0;
@@ -132,7 +132,7 @@
   const int most_requests = capacity_backoff_.doubtful(pool) ? 1 : kRequestsAtOnce;
   double requested = 0;
   for (int made = 0; made < most_requests && count >= 1; ++made) {
-    const auto machines = static_cast<std::uint32_t>(std::min<double>(count, cloud::kMaxRental));
+    const auto machines = static_cast<std::uint32_t>(std::min<double>(count, cloud::kMaxMachinesPerRental));
     record_request(pool, machines);
     requested += machines;
     count -= machines;
@@ -143,10 +143,10 @@
 void RentalManager::record_request(const model::Pool& pool, std::uint32_t count) {
   const std::string name = name_prefix() + std::to_string(++requests_made_);
   auto& rental = rentals_[name];
-  rental.record = {pool.flavor, pool.rack_room, pool.reclaimable, count, loop_.wall(), std::nullopt};
+  rental.record = {pool.machine_type, pool.zone, pool.preemptible, count, loop_.wall(), std::nullopt};
   rental.request_sent = true;
-  log_->info("rental {}: {} x {} in {}{}", name, count, pool.flavor, pool.rack_room,
-             pool.reclaimable ? ", spot" : "");
+  log_->info("rental {}: {} x {} in {}{}", name, count, pool.machine_type, pool.zone,
+             pool.preemptible ? ", spot" : "");
   // Invariant 3: stored before it is requested.
   ports_.store_request(name, rental.record, [this, name] { send_request(name); });
 }
@@ -157,29 +157,30 @@
   auto& rental = found->second;
   rental.request_sent = ports_.may_act();
   if (!rental.request_sent) return;
-  ports_.send_to_cloud(
-      cloud::Rent{name, rental.record,
-                  in_this_term([this, name](const cloud::Rented& result) { handle_rented(name, result); })});
+  ports_.send_to_cloud(cloud::Rent{
+      name, rental.record,
+      in_this_term([this, name](const cloud::RentalResult& result) { handle_rented(name, result); })});
 }
 
-void RentalManager::handle_rented(const std::string& name, const cloud::Rented& result) {
+void RentalManager::handle_rented(const std::string& name, const cloud::RentalResult& result) {
   const auto found = rentals_.find(name);
   if (found == rentals_.end()) return;
   auto& rental = found->second;
   rental.request_sent = false;
   rental.retry_at = loop_.now() + settings_.control_interval_s / 2;
-  if (result.kind == cloud::Rented::Kind::trouble) return;
-  const model::Pool pool{rental.record.flavor, rental.record.rack_room, rental.record.reclaimable};
-  if (result.kind == cloud::Rented::Kind::no_capacity || result.hosts.size() < rental.record.count) {
+  if (result.status == cloud::RentalResult::Status::failed) return;
+  const model::Pool pool{rental.record.machine_type, rental.record.zone, rental.record.preemptible};
+  if (result.status == cloud::RentalResult::Status::no_capacity ||
+      result.machines.size() < rental.record.count) {
     capacity_backoff_.note(pool, loop_.now(), settings_.round_s);
-    log_->info("rental {}: {} of {} to be had", name, result.hosts.size(), rental.record.count);
+    log_->info("rental {}: {} of {} to be had", name, result.machines.size(), rental.record.count);
     ports_.plan_soon();
   } else {
     capacity_backoff_.over(pool);
   }
-  if (result.hosts.empty()) return close(name);
-  rental.record.hosts.emplace();
-  for (const auto& machine_id : result.hosts) rental.record.hosts->push_back(machine_id.value);
+  if (result.machines.empty()) return close(name);
+  rental.record.machine_ids.emplace();
+  for (const auto& machine_id : result.machines) rental.record.machine_ids->push_back(machine_id.value);
   ports_.store_machines(name, rental.record);
   // At once: until its machines are known the rental counts neither as asked for nor as there, and a plan
   // made in between rented all of them once more.
@@ -200,7 +201,7 @@
   const std::string own_prefix = name_prefix();
   std::vector<std::string> completed;
   for (auto& [name, rental] : rentals_) {
-    if (rental.record.hosts) {
+    if (rental.record.machine_ids) {
       if (add_machines(rental, name.starts_with(own_prefix))) completed.push_back(name);
     } else if (!rental.request_sent && now >= rental.retry_at && ports_.may_act()) {
       // A new leader repeats open rentals to learn their machines.
@@ -213,19 +214,19 @@
 // Adds a rental's machines to the fleet; says whether each has its own record by now.
 bool RentalManager::add_machines(const Rental& rental, bool made_in_this_term) {
   bool all_recorded = true;
-  for (const auto& text : *rental.record.hosts) {
-    const wire::HostId machine_id{text};
+  for (const auto& text : *rental.record.machine_ids) {
+    const wire::MachineId machine_id{text};
     if (terminated_.contains(machine_id)) continue;
     const auto [machine, added] = fleet_.add(machine_id);
     if (added) {
-      machine->flavor = rental.record.flavor;
-      machine->rack_room = rental.record.rack_room;
-      machine->reclaimable = rental.record.reclaimable;
+      machine->machine_type = rental.record.machine_type;
+      machine->zone = rental.record.zone;
+      machine->preemptible = rental.record.preemptible;
       machine->first_seen = loop_.now();
       set_resources(*machine);
       fleet_.refresh(*machine);
     }
-    machine->fresh = machine->fresh || made_in_this_term;
+    machine->rented_this_term = machine->rented_this_term || made_in_this_term;
     all_recorded = all_recorded && machine->recorded;
   }
   return all_recorded;
@@ -237,31 +238,31 @@
 }
 
 void RentalManager::terminate(Machine& machine, const std::string& reason) {
-  if (std::exchange(machine.releasing, true)) return;
-  log_->debug("machine {}: releasing it, {} ({} tasks bound)", machine.host.value, reason,
-              machine.binds.size());
+  if (std::exchange(machine.terminating, true)) return;
+  log_->debug("machine {}: releasing it, {} ({} tasks bound)", machine.id.value, reason,
+              machine.assignments.size());
   ports_.count_event("machines released (" + reason + ")");
   ports_.terminating(machine);
-  to_terminate_.insert(machine.host);
+  to_terminate_.insert(machine.id);
   fleet_.refresh(machine);
   loop_.post(while_alive([this] { send_terminations(); }));
 }
 
 void RentalManager::send_terminations() {
   if (termination_sent_ || !ports_.may_act()) return;
-  std::vector<wire::HostId> batch;
+  std::vector<wire::MachineId> batch;
   for (const auto& machine_id : to_terminate_)
-    if (batch.size() < cloud::kMaxRelease) batch.push_back(machine_id);
+    if (batch.size() < cloud::kMaxTerminations) batch.push_back(machine_id);
   if (batch.empty()) return;
   termination_sent_ = true;
-  ports_.send_to_cloud(cloud::Release{batch, in_this_term([this, batch](bool done) {
-                                        termination_sent_ = false;
-                                        if (!done) return;  // the next call sends them again
-                                        for (const auto& machine_id : batch) handle_terminated(machine_id);
-                                      })});
+  ports_.send_to_cloud(cloud::Terminate{batch, in_this_term([this, batch](bool done) {
+                                          termination_sent_ = false;
+                                          if (!done) return;  // the next call sends them again
+                                          for (const auto& machine_id : batch) handle_terminated(machine_id);
+                                        })});
 }
 
-void RentalManager::handle_terminated(const wire::HostId& machine_id) {
+void RentalManager::handle_terminated(const wire::MachineId& machine_id) {
   to_terminate_.erase(machine_id);
   terminated_.add(machine_id, loop_.now());
   ports_.terminated(machine_id);
@@ -273,32 +274,32 @@
   next_list_ = loop_.now() + std::max(settings_.list_lag_s, settings_.control_interval_s) * pages;
   if (std::exchange(list_requested_, true)) return;
   ports_.send_to_cloud(
-      cloud::ListHosts{in_this_term([this](const std::optional<std::vector<wire::ListedHost>>& listed) {
+      cloud::ListMachines{in_this_term([this](const std::optional<std::vector<wire::ListedMachine>>& listed) {
         list_requested_ = false;
         if (!listed || !ports_.may_act()) return;
         for (const auto& machine : *listed) reconcile_listed(machine);
       })});
 }
 
-void RentalManager::reconcile_listed(const wire::ListedHost& listed) {
-  if (terminated_.contains(listed.uid)) return;
-  const auto [machine, added] = fleet_.add(listed.uid);
+void RentalManager::reconcile_listed(const wire::ListedMachine& listed) {
+  if (terminated_.contains(listed.id)) return;
+  const auto [machine, added] = fleet_.add(listed.id);
   if (added) {
     // Rented by a request that came late, or at the start: used or returned like any other.
-    log_->debug("machine {}: listed but unexpected, adding it", listed.uid.value);
+    log_->debug("machine {}: listed but unexpected, adding it", listed.id.value);
     ports_.count_event("unexpected machines");
-    machine->flavor = listed.flavor;
-    machine->rack_room = listed.rack_room;
-    machine->reclaimable = listed.reclaimable;
-    machine->first_seen = loop_.now() - listed.held_s;
+    machine->machine_type = listed.machine_type;
+    machine->zone = listed.zone;
+    machine->preemptible = listed.preemptible;
+    machine->first_seen = loop_.now() - listed.age_s;
     set_resources(*machine);
     fleet_.refresh(*machine);
   }
-  if (listed.phase == "failed") terminate(*machine, kFailedReason);
+  if (listed.state == "failed") terminate(*machine, kFailedReason);
 }
 
 void RentalManager::set_resources(Machine& machine) const {
-  if (const auto* type = ports_.machine_type(machine.flavor)) machine.size = type->size;
+  if (const auto* type = ports_.machine_type(machine.machine_type)) machine.capacity = type->capacity;
 }
 
 }  // namespace bankhill::leader
--- a/src/leader/rental_manager.hpp
+++ b/src/leader/rental_manager.hpp
@@ -15,8 +15,8 @@
 #include <vector>
 
 #include "cloud/cloud.hpp"
+#include "model/capacity_backoff.hpp"
 #include "model/fleet.hpp"
-#include "model/stockouts.hpp"
 #include "runtime/log.hpp"
 #include "runtime/loop.hpp"
 #include "wire/records.hpp"
@@ -29,16 +29,16 @@
  public:
   explicit TerminatedMachines(double retention_s) : retention_s_(retention_s) {}
 
-  void add(const wire::HostId& machine_id, double now);
-  bool contains(const wire::HostId& machine_id) const { return machine_ids_.contains(machine_id); }
+  void add(const wire::MachineId& machine_id, double now);
+  bool contains(const wire::MachineId& machine_id) const { return machine_ids_.contains(machine_id); }
 
  private:
   struct Termination {
     double at = 0;  // steady clock
-    wire::HostId machine_id;
+    wire::MachineId machine_id;
   };
   double retention_s_;
-  std::set<wire::HostId> machine_ids_;
+  std::set<wire::MachineId> machine_ids_;
   std::deque<Termination> by_time_;  // rising
 };
 
@@ -58,7 +58,7 @@
     std::function<bool()> may_act;  // invariant 2
     std::function<void(cloud::Cloud::Message)> send_to_cloud;
     // The type of that name in the catalogue; nothing if it is not there.
-    std::function<const wire::Flavor*(const std::string& name)> machine_type;
+    std::function<const wire::MachineType*(const std::string& name)> machine_type;
 
     // Record a rental: one to be requested (`stored` is called once that is committed), one whose machines
     // are known, and remove the record of one that is over.
@@ -69,7 +69,7 @@
 
     // A machine is about to be terminated; it is gone.
     std::function<void(const model::Machine&)> terminating;
-    std::function<void(const wire::HostId&)> terminated;
+    std::function<void(const wire::MachineId&)> terminated;
 
     std::function<void()> plan_soon;
     std::function<void(const std::string& event)> count_event;  // for the summary in the log
@@ -84,14 +84,16 @@
 
   // Records and requests up to `count` machines of a type, in one zone or, if `zone` is empty, evenly over
   // those that have some. Returns how many it requests.
-  double request(const wire::Flavor& machine_type, bool preemptible, double count,
+  double request(const wire::MachineType& machine_type, bool preemptible, double count,
                  const std::string& zone = "");
 
   // Returns a machine to the cloud.
   void terminate(model::Machine& machine, const std::string& reason);
   // The same for one that was terminated before and has turned out to be there still.
-  void terminate_again(const wire::HostId& machine_id) { to_terminate_.insert(machine_id); }
-  bool recently_terminated(const wire::HostId& machine_id) const { return terminated_.contains(machine_id); }
+  void terminate_again(const wire::MachineId& machine_id) { to_terminate_.insert(machine_id); }
+  bool recently_terminated(const wire::MachineId& machine_id) const {
+    return terminated_.contains(machine_id);
+  }
 
   // Reconciles rentals with the fleet, and the fleet with the cloud's list, whenever that is due.
   void reconcile_if_due();
@@ -121,19 +123,19 @@
   auto in_this_term(Work work);
 
   double room_for_machines();
-  std::vector<std::string> zones_to_ask(const wire::Flavor& machine_type, bool preemptible,
+  std::vector<std::string> zones_to_ask(const wire::MachineType& machine_type, bool preemptible,
                                         const std::string& zone) const;
   double request_in_zone(const model::Pool& pool, double count);
   void record_request(const model::Pool& pool, std::uint32_t count);
   void send_request(const std::string& name);
-  void handle_rented(const std::string& name, const cloud::Rented& result);
+  void handle_rented(const std::string& name, const cloud::RentalResult& result);
   bool add_machines(const Rental& rental, bool made_in_this_term);
   void close(const std::string& name);
 
-  void handle_terminated(const wire::HostId& machine_id);
+  void handle_terminated(const wire::MachineId& machine_id);
 
   void request_list();
-  void reconcile_listed(const wire::ListedHost& listed);
+  void reconcile_listed(const wire::ListedMachine& listed);
   void set_resources(model::Machine& machine) const;
 
   runtime::Loop& loop_;
@@ -146,10 +148,10 @@
   std::uint64_t last_term_ = 0;
   std::uint64_t requests_made_ = 0;  // in this term
   std::map<std::string, Rental> rentals_;
-  model::Stockouts capacity_backoff_;
+  model::CapacityBackoff capacity_backoff_;
   bool at_machine_limit_ = false;
 
-  std::set<wire::HostId> to_terminate_;
+  std::set<wire::MachineId> to_terminate_;
   TerminatedMachines terminated_;
   bool termination_sent_ = false;
 
--- a/src/leader/unplaceable_requests.cpp
+++ b/src/leader/unplaceable_requests.cpp
@@ -6,7 +6,7 @@
 
 bool UnplaceableRequests::cover(const queue::Candidate& job) const {
   return std::any_of(requests_.begin(), requests_.end(), [&](const Request& request) {
-    return request.resources.fits(job.need) && (request.allows_preemptible || !job.reclaimable) &&
+    return request.resources.fits(job.request) && (request.allows_preemptible || !job.allows_preemptible) &&
            job.task_s >= request.min_runtime_s;
   });
 }
--- a/src/leader/unplaceable_requests.hpp
+++ b/src/leader/unplaceable_requests.hpp
@@ -4,7 +4,7 @@
 
 #include <vector>
 
-#include "queue/queue.hpp"
+#include "queue/job_queue.hpp"
 #include "wire/messages.hpp"
 
 namespace bankhill::leader {
@@ -12,7 +12,7 @@
 class UnplaceableRequests {
  public:
   struct Request {
-    wire::Amounts resources;
+    wire::Resources resources;
     bool allows_preemptible = false;
     // Tasks that run for less may still find one: among what is reserved for others until then.
     double min_runtime_s = 0;
--- a/src/leader/strangers.cpp
+++ b/src/leader/unregistered_machines.cpp
@@ -1,15 +1,15 @@
-#include "leader/strangers.hpp"
+#include "leader/unregistered_machines.hpp"
 
 namespace bankhill::leader {
 
-bool Strangers::to_ask(const wire::Report& report, double now) {
+bool UnregisteredMachines::should_probe(const wire::Heartbeat& heartbeat, double now) {
   forget(now);
-  const std::pair newest(report.tenure, report.counter);
-  const auto found = known_.find(report.host);
+  const std::pair newest(heartbeat.agent_epoch, heartbeat.sequence);
+  const auto found = known_.find(heartbeat.machine_id);
   if (found == known_.end()) {
     if (known_.size() >= most_) return false;
-    known_.emplace(report.host, Known{newest, now, now});
-    order_.emplace_back(now, report.host);
+    known_.emplace(heartbeat.machine_id, Known{newest, now, now});
+    order_.emplace_back(now, heartbeat.machine_id);
     return true;
   }
   auto& known = found->second;
@@ -21,7 +21,7 @@
   return true;
 }
 
-void Strangers::forget(double now) {
+void UnregisteredMachines::forget(double now) {
   while (!order_.empty() && now - order_.front().first > forget_s_) {
     const auto host = std::move(order_.front().second);
     order_.pop_front();
@@ -34,7 +34,7 @@
   }
 }
 
-void Strangers::clear() {
+void UnregisteredMachines::clear() {
   known_.clear();
   order_.clear();
 }
--- a/src/model/surely_gone.hpp
+++ b/src/model/agent_lease.hpp
@@ -8,51 +8,51 @@
 #include <cstdint>
 #include <optional>
 
-#include "model/cancel_budget.hpp"
+#include "model/cancellation_bound.hpp"
 #include "wire/ids.hpp"
 
 namespace bankhill::model {
 
-// A worker's lease counts from when it sent a report that was answered, so at the latest from the answer. A
-// machine that hangs goes on within its lease or not at all; an answer that waits in its socket was counted
+// A worker's lease counts from when it sent a heartbeat that was answered, so at the latest from the answer.
+// A machine that hangs goes on within its lease or not at all; an answer that waits in its socket was counted
 // when it was given.
-class Lease {
+class AgentLease {
  public:
-  // It may have been lengthened until now: an answer, a session that began unseen, an earlier leader.
-  void renewed(double now) { renewed_ = std::max(renewed_, now); }
-  // From here on the tasks of this session are gone, whatever cannot be reached or hangs.
-  double surely_over_at(double lease_s) const { return renewed_ + lease_s * kDriftAllowance + kAllowanceS; }
+  // It may have been lengthened until now: an answer, an agent epoch that began unseen, an earlier leader.
+  void renewed_at(double now) { renewed_ = std::max(renewed_, now); }
+  // From here on the tasks of this agent epoch are gone, whatever cannot be reached or hangs.
+  double expired_at(double lease_s) const { return renewed_ + lease_s * kDriftAllowance + kAllowanceS; }
 
  private:
   double renewed_ = 0;
 };
 
 // Starts of one attempt that were sent and may still be executed.
-class StartsUnderWay {
+class InFlightStarts {
  public:
   void sent_directly() { ++unanswered_; }
-  // A direct start was answered, or given up and may arrive as long as its fence is not below what the worker
-  // has seen.
-  void direct_ended(wire::Fence fence, bool answered) {
+  // A direct start was answered, or given up and may arrive as long as its fencing token is not below what
+  // the worker has seen.
+  void direct_ended(wire::FencingToken fencing_token, bool answered) {
     unanswered_ = std::max(0, unanswered_ - 1);
-    if (!answered) doubt_ = std::max(doubt_, fence);
+    if (!answered) doubt_ = std::max(doubt_, fencing_token);
   }
-  // The answer to the report of this counter carried it.
+  // The answer to the heartbeat of this counter carried it.
   void sent_with_answer(std::uint64_t counter) { answered_counter_ = counter; }
-  // Whether this report, not a direct answer, was sent after the worker had that answer, or lost it.
+  // Whether this heartbeat, not a direct answer, was sent after the worker had that answer, or lost it.
   bool shown_by(std::uint64_t counter) const { return answered_counter_ != 0 && answered_counter_ < counter; }
-  bool directs_over(wire::Fence seen) const {
+  bool directs_over(wire::FencingToken seen) const {
     return unanswered_ == 0 && (doubt_.value == 0 || doubt_ < seen);
   }
   // Nothing: a direct answer, which shows nothing of it.
   bool answer_over(std::optional<std::uint64_t> counter) const {
     return answered_counter_ == 0 || (counter && shown_by(*counter));
   }
-  bool in_doubt(wire::Fence fence) const { return doubt_ == fence; }
+  bool in_doubt(wire::FencingToken fencing_token) const { return doubt_ == fencing_token; }
 
  private:
   int unanswered_ = 0;
-  wire::Fence doubt_;  // 0: none
+  wire::FencingToken doubt_;  // 0: none
   std::uint64_t answered_counter_ = 0;
 };
 
--- a/src/model/boots.cpp
+++ b/src/model/boot_statistics.cpp
@@ -1,4 +1,4 @@
-#include "model/boots.hpp"
+#include "model/boot_statistics.hpp"
 
 namespace bankhill::model {
 
@@ -8,7 +8,7 @@
 constexpr double kKnown = 5;
 }  // namespace
 
-std::optional<bool> Boots::note(bool in_time, double rest) {
+std::optional<bool> BootStatistics::note(bool in_time, double rest) {
   in_time_ = in_time_ * rest + (in_time ? 1 : 0);
   late_ = late_ * rest + (in_time ? 0 : 1);
   if (known() < kKnown) return std::nullopt;
--- a/src/model/boots.hpp
+++ b/src/model/boot_statistics.hpp
@@ -5,7 +5,7 @@
 
 namespace bankhill::model {
 
-class Boots {
+class BootStatistics {
  public:
   // One was in time or late; `rest`: the part that what was counted before still counts. Returns what is new:
   // that boots are bad by now, or are as usual again.
--- a/src/model/cancel_budget.cpp
+++ b/src/model/cancellation_bound.cpp
@@ -1,4 +1,4 @@
-#include "model/cancel_budget.hpp"
+#include "model/cancellation_bound.hpp"
 
 #include <fmt/format.h>
 
@@ -14,21 +14,23 @@
 constexpr double kLeastReadAgeS = 2;
 }  // namespace
 
-CancelBudget::CancelBudget(double lease_s, double cancel_s, double answer_s)
+CancellationBound::CancellationBound(double lease_s, double cancel_s, double answer_s)
     : lease_s_(lease_s), cancel_s_(cancel_s), answer_s_(answer_s) {
   const double left = (cancel_s - kAllowanceS - answer_s) / kDriftAllowance - lease_s;
   read_age_s_ = std::min(kReadShare * (cancel_s - lease_s), left);
 }
 
-double CancelBudget::leader_ttl_s() const { return kTtlShare * (cancel_s_ - lease_s_); }
+double CancellationBound::leader_ttl_s() const { return kTtlShare * (cancel_s_ - lease_s_); }
 
-double CancelBudget::gone_within_s() const {
+double CancellationBound::gone_within_s() const {
   return (read_age_s_ + lease_s_) * kDriftAllowance + answer_s_ + kAllowanceS;
 }
 
-bool CancelBudget::holds() const { return read_age_s_ >= kLeastReadAgeS && gone_within_s() <= cancel_s_; }
+bool CancellationBound::holds() const {
+  return read_age_s_ >= kLeastReadAgeS && gone_within_s() <= cancel_s_;
+}
 
-std::string CancelBudget::describe() const {
+std::string CancellationBound::describe() const {
   return fmt::format(
       "a cancelled task is gone within {:.1f} of {:.1f} s: {:.1f} since the leader last read the state, "
       "{:.1f} "
--- a/src/model/cancel_budget.hpp
+++ b/src/model/cancellation_bound.hpp
@@ -14,10 +14,10 @@
 // And this much, for what ends late: a lease, a step of a process.
 constexpr double kAllowanceS = 1;
 
-class CancelBudget {
+class CancellationBound {
  public:
-  // `answer_s`: that a worker waits for the answer to a report.
-  CancelBudget(double lease_s, double cancel_s, double answer_s);
+  // `answer_s`: that a worker waits for the answer to a heartbeat.
+  CancellationBound(double lease_s, double cancel_s, double answer_s);
 
   // The age that the leader's last read barrier may have, counted from its sending: a leader whose knowledge
   // is older extends no worker's lease. It is cut where the settings leave less.
--- a/src/model/stockouts.hpp
+++ b/src/model/capacity_backoff.hpp
@@ -8,7 +8,7 @@
 
 namespace bankhill::model {
 
-class Stockouts {
+class CapacityBackoff {
  public:
   // It had less than was asked for; pauses double from a part of a round to some rounds.
   void note(const Pool& pool, double now, double round_s);
