--- a/src/model/waits.hpp
+++ b/src/model/dependency_graph.hpp
@@ -18,82 +18,83 @@
 namespace bankhill::model {
 
 // What the record of a job says, and what its owner asks of it.
-struct JobFact {
+struct DependencyInfo {
   enum class State { unknown, missing, accepted, done, cancelled };  // missing: no such record
   State state = State::unknown;
-  wire::Stamp stamp;
+  wire::KeyRevision revision;
   double ended_at = 0;  // time of day; 0: not known
-  wire::Rank rank = wire::Rank::best_effort;
-  double due_at = std::numeric_limits<double>::infinity();  // time of day
-  double takes_s = 0;                                       // from its release to its end
+  wire::Priority priority = wire::Priority::best_effort;
+  double deadline_at = std::numeric_limits<double>::infinity();  // time of day
+  double duration_s = 0;                                         // from its release to its end
 };
 
 // Of a job of which only this is of interest.
-JobFact fact_of(wire::JobPhase phase, wire::Stamp stamp);
-JobFact missing_fact();
+DependencyInfo dependency_info(wire::JobState phase, wire::KeyRevision revision);
+DependencyInfo missing_dependency();
 
-class Waits {
+class DependencyGraph {
  public:
-  using State = JobFact::State;
+  using State = DependencyInfo::State;
   // Of jobs that wait: what has become of them.
-  struct News {
-    std::vector<wire::JobId> released;
+  struct Updates {
+    std::vector<wire::JobId> ready;
     std::vector<wire::JobId> cancelled;
   };
   // For whom a job is needed first.
   struct Goal {
     wire::JobId last;  // whose deadline it is; empty: none
-    double due_at = std::numeric_limits<double>::infinity();
+    double deadline_at = std::numeric_limits<double>::infinity();
     double rest_s = 0;  // from the end of this job to the end of that one
-    double latest() const { return due_at - rest_s; }
+    double latest() const { return deadline_at - rest_s; }
     bool operator==(const Goal&) const = default;
   };
-  using LookUp = std::function<JobFact(const wire::JobId&)>;
+  using LookUp = std::function<DependencyInfo(const wire::JobId&)>;
 
   // A live job that names others. `look_up` says what the caller knows of them; what it does not know comes
   // with questions(). `incomplete`: some of what it waits for could not be read: it is never released.
-  void add(const wire::JobId& id, const JobFact& fact, const std::vector<wire::JobId>& needs, bool incomplete,
-           const LookUp& look_up);
+  void add(const wire::JobId& id, const DependencyInfo& fact, const std::vector<wire::JobId>& needs,
+           bool incomplete, const LookUp& look_up);
   // A record of any job was read. Costs a look if nobody waits for it.
-  void learn(const wire::JobId& id, const JobFact& fact);
+  void learn(const wire::JobId& id, const DependencyInfo& fact);
   // What has changed since the last call.
-  News take_news() { return std::exchange(news_, {}); }
+  Updates take_updates() { return std::exchange(updates_, {}); }
   // Jobs of which nothing is known, to be read by the caller; each is named once.
-  std::vector<wire::JobId> take_questions();
+  std::vector<wire::JobId> take_unknown();
 
   // Whether everything that it needs is done.
-  bool released(const wire::JobId& id) const;
+  bool ready(const wire::JobId& id) const;
   bool cancelled(const wire::JobId& id) const;
   // Whether something that it needs, directly or through others, is still to be read, so that a job that
   // waits may be over without our knowing. Costs a walk over what it needs while anything at all is unknown.
-  bool in_doubt(const wire::JobId& id) const;
+  bool maybe_cancelled(const wire::JobId& id) const;
   // Whether the graph knows that the job was accepted once.
   bool accepted(const wire::JobId& id) const;
   bool awaited(const wire::JobId& id) const;  // by a job that is not over
   // Jobs accepted or finished later than this no earlier leader has started.
-  wire::Stamp free_since(const wire::JobId& id) const;
-  double free_at(const wire::JobId& id) const;  // time of day; 0: not known
+  wire::KeyRevision ready_revision(const wire::JobId& id) const;
+  double ready_at(const wire::JobId& id) const;  // time of day; 0: not known
   // The highest rank among the job and what needs it.
-  wire::Rank rank(const wire::JobId& id, wire::Rank own) const;
+  wire::Priority priority(const wire::JobId& id, wire::Priority own) const;
   Goal goal(const wire::JobId& id) const;
   // Up to `most` jobs that it still waits for directly, and how many there are.
-  std::vector<wire::JobId> open_needs(const wire::JobId& id, std::size_t most, std::size_t& count) const;
+  std::vector<wire::JobId> open_dependencies(const wire::JobId& id, std::size_t most,
+                                             std::size_t& count) const;
   std::size_t size() const { return nodes_.size(); }
 
  private:
   struct Node {
-    JobFact fact;
+    DependencyInfo info;
     bool cancelled = false;  // it, or one that it needs
     bool waits = false;      // live and named others when it was accepted
     std::uint32_t open = 0;  // needs that are not done
-    std::vector<wire::JobId> needs;
-    std::set<wire::JobId> later;  // jobs that need it and are not over
-    wire::Stamp free_since;
-    double free_at = 0;
-    wire::Rank rank = wire::Rank::best_effort;
+    std::vector<wire::JobId> dependencies;
+    std::set<wire::JobId> dependents;  // jobs that need it and are not over
+    wire::KeyRevision ready_revision;
+    double ready_at = 0;
+    wire::Priority priority = wire::Priority::best_effort;
     Goal goal;
   };
-  using Upward = std::set<std::pair<wire::Stamp, wire::JobId>>;
+  using Upward = std::set<std::pair<wire::KeyRevision, wire::JobId>>;
 
   const Node* find(const wire::JobId& id) const;
   void done(const Node& node);
@@ -107,8 +108,8 @@
 
   std::map<wire::JobId, Node> nodes_;
   std::size_t unknown_ = 0;
-  News news_;
-  std::vector<wire::JobId> questions_;
+  Updates updates_;
+  std::vector<wire::JobId> unknown_ids_;
 };
 
 }  // namespace bankhill::model
--- a/src/model/fleet.hpp
+++ b/src/model/fleet.hpp
@@ -1,4 +1,4 @@
-// The fleet: machines indexed by pool, room and image, with running sums, so that a task, a report or a
+// The fleet: machines indexed by pool, room and image, with running sums, so that a task, a heartbeat or a
 // release costs about the logarithm of the fleet. Pure: no input, output or clocks.
 #pragma once
 
@@ -13,11 +13,11 @@
 
 namespace bankhill::model {
 
-// Machines of one flavor, zone and kind.
+// Machines of one machine type, zone and kind.
 struct Pool {
-  std::string flavor;
-  std::string rack_room;
-  bool reclaimable = false;
+  std::string machine_type;
+  std::string zone;
+  bool preemptible = false;
   auto operator<=>(const Pool&) const = default;
 };
 
@@ -32,48 +32,48 @@
 };
 
 struct PoolState {
-  Sums sums;
-  wire::Amounts size;  // of one machine
+  FleetTotals sums;
+  wire::Resources capacity;  // of one machine
   std::set<Slot> open;
   std::map<std::string, std::set<Slot>> with_image;
 };
 
 class Fleet {
  public:
-  using Machines = std::map<wire::HostId, Machine>;
+  using Machines = std::map<wire::MachineId, Machine>;
 
   Machines::iterator begin() { return machines_.begin(); }
   Machines::iterator end() { return machines_.end(); }
   std::size_t size() const { return machines_.size(); }
-  Machine* find(const wire::HostId& host);
-  const Machine* peek(const wire::HostId& host) const;
+  Machine* find(const wire::MachineId& machine_id);
+  const Machine* peek(const wire::MachineId& machine_id) const;
   // The machine, made if it is not there yet.
-  std::pair<Machine*, bool> add(const wire::HostId& host);
-  void erase(const wire::HostId& host);
+  std::pair<Machine*, bool> add(const wire::MachineId& machine_id);
+  void erase(const wire::MachineId& machine_id);
   void clear();
   // To be called after any change to a machine: brings the indexes and sums up to date.
   void refresh(Machine& machine);
-  void add_image(Machine& machine, const std::string& bundle);
+  void add_image(Machine& machine, const std::string& image);
 
   // Calls for each of the next `count` machines after `cursor`, going round; moves the cursor.
-  void visit_after(wire::HostId& cursor, std::size_t count, const std::function<void(Machine&)>& call);
+  void visit_after(wire::MachineId& cursor, std::size_t count, const std::function<void(Machine&)>& call);
   // The same for a share of the fleet.
   void visit(double share, const std::function<void(Machine&)>& call);
 
   const std::map<Pool, PoolState>& pools() const { return pools_; }
-  const Sums& total() const { return total_; }
-  Sums zone(const std::string& rack_room) const;
+  const FleetTotals& total() const { return total_; }
+  FleetTotals zone(const std::string& zone) const;
 
   // Machines that may take a task of a job, best first: `fetch_s` says how long a pool's machines take to
   // fetch the image, `suits` has the last word. `passed` tells whether a machine with room was passed over.
   struct Choice {
     const wire::JobSpec& spec;
-    bool reclaimable = false;
+    bool preemptible = false;
     bool small_first = false;  // of equals, the smaller machine
-    std::function<double(const Pool&)> fetch_s;
-    std::function<double(const Pool&)> aside_s;  // seconds that being in another pool is worth
+    std::function<double(const Pool&)> image_pull_s;
+    std::function<double(const Pool&)> zone_penalty_s;  // seconds that being in another pool is worth
     std::function<bool(const Machine&)> suits;
-    bool passed = false;
+    bool passed_over = false;
   };
   Machine* pick(Choice& choice);
 
@@ -85,13 +85,13 @@
 
   Machines machines_;
   std::map<Pool, PoolState> pools_;
-  Sums total_;
+  FleetTotals total_;
   std::uint64_t next_number_ = 1;
-  wire::HostId cursor_;  // visited last
+  wire::MachineId cursor_;  // visited last
   std::uint64_t steps_ = 0;
 };
 
-// Whether the job may have tasks in this pool (flavor, zone, kind).
+// Whether the job may have tasks in this pool (machine type, zone, kind).
 bool allows(const wire::JobSpec& spec, const Pool& pool);
 
 }  // namespace bankhill::model
--- a/src/model/job.cpp
+++ b/src/model/job.cpp
@@ -5,17 +5,17 @@
 namespace bankhill::model {
 
 void Job::reset_marks() {
-  marks.assign(spec.members, kReady);
-  ready = spec.members;
-  bound = finished = running = cursor = 0;
-  where.clear();
-  zones.clear();
-  buckets.clear();
+  marks.assign(spec.task_count, kReady);
+  ready = spec.task_count;
+  assigned = finished = running = cursor = 0;
+  task_machines.clear();
+  tasks_by_zone.clear();
+  completion_buckets.clear();
 }
 
-void Job::set_mark(std::uint32_t index, Mark mark) {
+void Job::set_mark(std::uint32_t index, TaskMark mark) {
   auto count = [this](char of) -> std::uint32_t& {
-    return of == kReady ? ready : of == kBound ? bound : finished;
+    return of == kReady ? ready : of == kAssigned ? assigned : finished;
   };
   --count(marks[index]);
   ++count(mark);
--- a/src/model/job.hpp
+++ b/src/model/job.hpp
@@ -12,58 +12,59 @@
 
 namespace bankhill::model {
 
-enum Mark : char { kReady = 0, kBound = 1, kDone = 2 };
+enum TaskMark : char { kReady = 0, kAssigned = 1, kDone = 2 };
 
 struct Job {
   wire::JobSpec spec;
-  wire::JobPhase phase = wire::JobPhase::accepted;
+  wire::JobState state = wire::JobState::accepted;
   double accepted_at = 0;  // time of day
   double ended_at = 0;     // time of day; 0: not over, or not known
-  wire::Stamp stamp;
+  wire::KeyRevision revision;
   std::optional<double> cutoff;  // time of day: as its record says, for good
 
-  // Of a job that waits for others (model/waits.hpp).
-  bool released = true;           // all of them are done
-  bool abandoned = false;         // one of them is cancelled: it never starts, whatever its record still says
-  double ready_at = 0;            // time of day from when its waiting counts: its acceptance or its release
-  std::uint32_t waits_parts = 0;  // further keys that hold what it waits for
-  wire::Stamp
-      ready_stamp;  // what was accepted or released later than a reign began no earlier leader started
+  // Of a job that waits for others (model/dependency_graph.hpp).
+  bool dependencies_met = true;  // all of them are done
+  bool dependency_cancelled =
+      false;               // one of them is cancelled: it never starts, whatever its record still says
+  double eligible_at = 0;  // time of day from when its waiting counts: its acceptance or its release
+  std::uint32_t dependency_parts = 0;  // further keys that hold what it waits for
+  wire::KeyRevision
+      eligible_revision;  // what was accepted or released later than a term began no earlier leader started
 
   std::vector<char> marks;  // a Mark for each task; empty until led
   std::uint32_t ready = 0;
-  std::uint32_t bound = 0;
+  std::uint32_t assigned = 0;
   std::uint32_t finished = 0;
   std::uint32_t running = 0;
   std::uint32_t cursor = 0;  // no ready task lies before it
 
-  std::map<std::uint32_t, wire::HostId> where;     // the machines that tasks are bound to
-  std::map<std::string, std::uint32_t> zones;      // how many of them in each zone
-  std::map<std::uint32_t, std::uint64_t> buckets;  // chunk -> where its finished tasks are stored
+  std::map<std::uint32_t, wire::MachineId> task_machines;     // the machines that tasks are bound to
+  std::map<std::string, std::uint32_t> tasks_by_zone;         // how many of them in each zone
+  std::map<std::uint32_t, std::uint64_t> completion_buckets;  // chunk -> where its finished tasks are stored
 
   // Failures of tasks, to tell a faulty machine from a faulty job.
-  std::set<wire::HostId> failed_on;
+  std::set<wire::MachineId> failed_on;
   bool faulty = false;  // its tasks fail wherever they are tried
   std::uint32_t failures_in_row = 0;
   double blocked_until = 0;  // steady clock
-  double made_room_at = -1e9;
-  double sought_room_at = -1e9;
-  bool room_has_image = false;  // the room made last
-  std::string reason;           // why it waits or what failed, for its owner
+  double preempted_at = -1e9;
+  double preemption_tried_at = -1e9;
+  bool preempted_room_has_image = false;  // the room made last
+  std::string reason;                     // why it waits or what failed, for its owner
   bool progress_dirty = true;
 
-  bool over() const { return phase != wire::JobPhase::accepted; }
-  bool live() const { return !over() && !abandoned; }
+  bool ended() const { return state != wire::JobState::accepted; }
+  bool live() const { return !ended() && !dependency_cancelled; }
   // A task of it runs, is told to, or is done.
-  bool begun() const { return bound > 0 || finished > 0; }
-  bool service() const { return spec.shape == wire::Shape::daemon; }
+  bool started() const { return assigned > 0 || finished > 0; }
+  bool is_service() const { return spec.kind == wire::JobKind::service; }
 
   void reset_marks();
-  void set_mark(std::uint32_t index, Mark mark);
+  void set_mark(std::uint32_t index, TaskMark mark);
   // Of a faulty job one task is enough to see.
-  bool on_trial() const { return faulty && bound > 0; }
+  bool on_trial() const { return faulty && assigned > 0; }
   // Tasks that are worth a machine: of a faulty job one.
-  std::uint32_t unfinished() const { return faulty ? 1 : ready + bound; }
+  std::uint32_t unfinished() const { return faulty ? 1 : ready + assigned; }
   // The next ready task at or after the cursor; false if there is none.
   bool next_ready(std::uint32_t& index);
 };
--- a/src/model/spot_reclaim_history.cpp
+++ b/src/model/spot_reclaim_history.cpp
@@ -10,7 +10,8 @@
 // rest of the leadership term: alpha's budget stayed unspent and work waited (days/ops-boots-slow).
 void SpotReclaimHistory::advance(const Fleet& fleet, double passed_s, double remaining) {
   for (const auto& [pool, state] : fleet.pools())
-    if (pool.reclaimable) types_[pool.flavor].machine_s += passed_s * static_cast<double>(state.sums.up);
+    if (pool.preemptible)
+      types_[pool.machine_type].machine_s += passed_s * static_cast<double>(state.sums.up);
   for (auto& [machine_type, history] : types_) {
     history.reclaims *= remaining;
     history.machine_s *= remaining;
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -25,7 +25,7 @@
 };
 
 // The protocol's own times, in seconds: a worker drops an answer that takes longer.
-constexpr double kWorkerWaitS = 4;
+constexpr double kWorkerResponseTimeoutS = 4;
 
 using Reply = std::function<void(Response)>;
 using Handler = std::function<void(Request, Reply)>;
@@ -40,13 +40,13 @@
   virtual void send(const std::string& address, Request request, double timeout_s, Reply reply) = 0;
 };
 
-// Frames to and from sibling controllers. Frames to one that cannot be reached are dropped.
-class PeerPort {
+// Frames to and from peer controllers. Frames to one that cannot be reached are dropped.
+class PeerTransport {
  public:
-  PeerPort() = default;
-  PeerPort(const PeerPort&) = delete;
-  PeerPort& operator=(const PeerPort&) = delete;
-  virtual ~PeerPort() = default;
+  PeerTransport() = default;
+  PeerTransport(const PeerTransport&) = delete;
+  PeerTransport& operator=(const PeerTransport&) = delete;
+  virtual ~PeerTransport() = default;
   // Whether there is a connection that a frame could go to now.
   virtual bool send(const std::string& node, const wire::Frame& frame) = 0;
   virtual void listen(std::function<void(const std::string& node, wire::Frame frame)> receiver) = 0;
--- a/src/net/relay.hpp
+++ b/src/net/relay.hpp
@@ -16,79 +16,79 @@
   std::string node;
   wire::Frame frame;
 };
-struct RelayCall {  // to `node`; the reply has status 0 when no answer came in time
+struct RelayRequest {  // to `node`; the reply has status 0 when no answer came in time
   std::string node;
   Request request;
   double timeout_s = 0;
   Reply reply;
 };
 struct Broadcast {
-  wire::Progress progress;
+  wire::JobProgress progress;
 };
 
-// A sibling as its beats show it.
-struct SiblingState {
+// A peer as its beats show it.
+struct PeerState {
   std::string node;
-  double silence_s = 0;    // since its last beat
-  bool fresh = false;      // its beats come
-  bool delegates = false;  // it understands frames of delegation
-  wire::Load load;         // capacity 0: takes no workers now
+  double silence_s = 0;              // since its last beat
+  bool fresh = false;                // its beats come
+  bool forwards_heartbeats = false;  // it understands frames of delegation
+  wire::ControllerLoad load;         // capacity 0: takes no workers now
 };
 
-// Says and hears beats, and passes requests to siblings and back.
-class Relay : public runtime::Actor<Relay, Received, RelayCall, Broadcast> {
+// Says and hears beats, and passes requests to peers and back.
+class Relay : public runtime::Actor<Relay, Received, RelayRequest, Broadcast> {
  public:
   struct Ports {
-    PeerPort& peers;
-    Handler handler;                               // serves what siblings relay
-    std::function<wire::Beat()> beat;              // what to tell the siblings now
-    std::function<wire::Load()> load;              // the same, to those who understand it
-    std::function<void(wire::Progress)> progress;  // what the leader tells
-    std::function<void(const std::string& node, wire::Frame)> delegation;  // Reports and Rulings
+    PeerTransport& peers;
+    Handler handler;                                  // serves what peers relay
+    std::function<wire::PeerStatus()> status;         // what to tell the peers now
+    std::function<wire::ControllerLoad()> load;       // the same, to those who understand it
+    std::function<void(wire::JobProgress)> progress;  // what the leader tells
+    std::function<void(const std::string& node, wire::Frame)> heartbeats;  // Reports and Responses
   };
 
-  Relay(runtime::Loop& loop, std::vector<std::string> siblings, double beat_s, Ports ports);
+  Relay(runtime::Loop& loop, std::vector<std::string> peers, double beat_s, Ports ports);
   void start();
 
-  // A sibling heard of lately that reaches the state service, and that did not just leave several requests of
+  // A peer heard of lately that reaches the state service, and that did not just leave several requests of
   // ours unanswered; empty if there is none.
-  std::string sibling_with_state() const;
-  bool any_sibling() const;
-  bool all_siblings() const;  // every one that this controller was told of
+  std::string peer_with_state_service() const;
+  bool any_peer() const;
+  bool all_peers() const;  // every one that this controller was told of
   // Those that were heard at all.
-  std::vector<SiblingState> siblings() const;
-  double beat_s() const { return beat_s_; }
+  std::vector<PeerState> peers() const;
+  double status_interval_s() const { return status_interval_s_; }
 
   void on(Received& message);
-  void on(RelayCall& message);
+  void on(RelayRequest& message);
   void on(Broadcast& message);
 
  private:
-  struct Heard {
-    wire::Beat beat;
-    double at = -1e9;
-    bool delegates = false;
-    wire::Load load;
+  struct PeerInfo {
+    wire::PeerStatus status;
+    double heard_at = -1e9;
+    bool forwards_heartbeats = false;
+    wire::ControllerLoad load;
     int unanswered = 0;  // requests since the last answer
     double unanswered_at = -1e9;
   };
-  struct Waiting {
+  struct PendingRequest {
     std::string node;
     Reply reply;
     runtime::Timer deadline;
   };
-  void beat();
-  void answer(std::uint64_t id, Response response);
-  bool answers(const Heard& heard) const;
-  bool fresh(const Heard& heard) const { return loop().now() - heard.at < 3 * beat_s_; }
+  void send_status();
+  void complete(std::uint64_t id, Response response);
+  bool responds(const PeerInfo& heard) const;
+  bool fresh(const PeerInfo& heard) const { return loop().now() - heard.heard_at < 3 * status_interval_s_; }
 
-  std::vector<std::string> siblings_;
-  double beat_s_;
+  std::vector<std::string> peers_;
+  double status_interval_s_;
   Ports ports_;
-  std::map<std::string, Heard> heard_;
-  std::map<std::uint64_t, Waiting> waiting_;
+  std::map<std::string, PeerInfo> peer_info_;
+  std::map<std::uint64_t, PendingRequest> pending_;
   std::uint64_t next_id_;  // begins elsewhere in each process: an answer for an earlier one finds nothing
-  runtime::Timer beat_timer_;
+  runtime::Timer status_timer_;
 };
 
 }  // namespace bankhill::net
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -17,14 +17,15 @@
 double cost(const std::vector<double>& counts, const std::vector<Offer>& offers, bool spot) {
   double sum = 0;
   for (std::size_t i = 0; i < offers.size(); ++i)
-    sum += counts[i] * (spot ? offers[i].flavor.low_price : offers[i].flavor.rate);
+    sum += counts[i] *
+           (spot ? offers[i].machine_type.preemptible_hourly_price : offers[i].machine_type.hourly_price);
   return sum;
 }
 
 // Machines that the work keeps busy over its window, each task capped at one hour.
-double machines(const Work& work, const wire::Amounts& size) {
+double machines(const Work& work, const wire::Resources& size) {
   const double busy = work.service ? 1 : std::min(work.task_s, kHourS) / std::max(work.window_s, work.task_s);
-  return work.tasks * busy / slots(work.need, size);
+  return work.tasks * busy / slots(work.request, size);
 }
 }  // namespace
 
@@ -35,16 +36,17 @@
   return result;
 }
 
-double slots(const wire::Amounts& need, const wire::Amounts& size) {
-  return std::min({part(need.cores, size.cores), part(need.accelerators, size.accelerators),
-                   part(need.ram_gb, size.ram_gb)});
+double slots(const wire::Resources& request, const wire::Resources& size) {
+  return std::min({part(request.cores, size.cores), part(request.accelerators, size.accelerators),
+                   part(request.ram_gb, size.ram_gb)});
 }
 
-bool allows(const std::optional<std::vector<std::string>>& flavors, const std::string& flavor) {
-  return !flavors || std::find(flavors->begin(), flavors->end(), flavor) != flavors->end();
+bool allows(const std::optional<std::vector<std::string>>& machine_types, const std::string& machine_type) {
+  return !machine_types ||
+         std::find(machine_types->begin(), machine_types->end(), machine_type) != machine_types->end();
 }
 
-double longest_boot_s(const std::vector<wire::Flavor>& machine_types) {
+double longest_boot_s(const std::vector<wire::MachineType>& machine_types) {
   double longest = 0;
   for (const auto& type : machine_types) longest = std::max(longest, type.boot_s);
   return longest;
@@ -54,14 +56,14 @@
   std::optional<std::size_t> best;
   double best_price = 0;
   for (std::size_t i = 0; i < offers.size(); ++i) {
-    const auto& flavor = offers[i].flavor;
-    const double count = slots(work.need, flavor.size);
-    if (count < 1 || !allows(work.flavors, flavor.name)) continue;
-    if (work.rack_room && std::find(flavor.rack_rooms.begin(), flavor.rack_rooms.end(), *work.rack_room) ==
-                              flavor.rack_rooms.end())
+    const auto& machine_type = offers[i].machine_type;
+    const double count = slots(work.request, machine_type.capacity);
+    if (count < 1 || !allows(work.machine_types, machine_type.name)) continue;
+    if (work.zone && std::find(machine_type.zones.begin(), machine_type.zones.end(), *work.zone) ==
+                         machine_type.zones.end())
       continue;
     // All types run a task equally fast; boot time differs, but is paid once for many short tasks.
-    const double price = flavor.rate / count;
+    const double price = machine_type.hourly_price / count;
     if (!best || price < best_price) {
       best = i;
       best_price = price;
@@ -76,8 +78,10 @@
     double total = 0;
     double types = 0;
     for (const auto& offer : offers) {
-      if (slots(item.need, offer.flavor.size) < 1 || !allows(item.flavors, offer.flavor.name)) continue;
-      total += machines(item, offer.flavor.size) * offer.flavor.rate;
+      if (slots(item.request, offer.machine_type.capacity) < 1 ||
+          !allows(item.machine_types, offer.machine_type.name))
+        continue;
+      total += machines(item, offer.machine_type.capacity) * offer.machine_type.hourly_price;
       ++types;
     }
     if (types > 0) sum += total / types;
@@ -92,9 +96,9 @@
   for (const auto& item : work) {
     const auto type = preferred(item, offers);
     if (!type) continue;
-    const double count = machines(item, offers[*type].flavor.size);
+    const double count = machines(item, offers[*type].machine_type.capacity);
     c[*type] += count;
-    if (!item.reclaimable) steady_only[*type] += count;
+    if (!item.allows_preemptible) steady_only[*type] += count;
   }
   result.budget = budget(work, offers);
   const double fast = cost(c, offers, false);
--- a/src/planner/planner.hpp
+++ b/src/planner/planner.hpp
@@ -15,18 +15,18 @@
 
 // A job's unfinished tasks, as the plan sees them.
 struct Work {
-  wire::Amounts need;
+  wire::Resources request;
   double tasks = 0;
   double task_s = 0;    // estimated run time
   double window_s = 0;  // the time in which the work should be done: its period, at least task_s
   bool service = false;
-  bool reclaimable = false;
-  std::optional<std::vector<std::string>> flavors;
-  std::optional<std::string> rack_room;
+  bool allows_preemptible = false;
+  std::optional<std::vector<std::string>> machine_types;
+  std::optional<std::string> zone;
 };
 
 struct Offer {
-  wire::Flavor flavor;
+  wire::MachineType machine_type;
   bool spot_allowed = true;  // its reclaim share is below phi or unknown
 };
 
@@ -38,12 +38,12 @@
 };
 
 // How many tasks of this size a machine holds at once.
-double slots(const wire::Amounts& need, const wire::Amounts& size);
+double slots(const wire::Resources& request, const wire::Resources& size);
 
 // Of the types of the catalogue; 0 if it is empty.
-double longest_boot_s(const std::vector<wire::Flavor>& machine_types);
+double longest_boot_s(const std::vector<wire::MachineType>& machine_types);
 
-bool allows(const std::optional<std::vector<std::string>>& flavors, const std::string& flavor);
+bool allows(const std::optional<std::vector<std::string>>& machine_types, const std::string& machine_type);
 
 // Index of the offer on which a task completes earliest when its machine is still to be rented; of equals
 // the one cheapest per slot. Nothing if it fits none.
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -9,7 +9,7 @@
 using calendar::Rules;
 using wire::FieldError;
 using wire::Json;
-using wire::Malformed;
+using wire::ProtocolError;
 
 namespace {
 constexpr std::size_t kShown = 10;  // cutoffs
@@ -35,7 +35,7 @@
 
 calendar::Date date_of(const Json& item) {
   const auto date = item.is_string() ? calendar::parse_date(item.get<std::string>()) : std::nullopt;
-  if (!date) throw Malformed("a date is none");
+  if (!date) throw ProtocolError("a date is none");
   return *date;
 }
 
@@ -69,7 +69,7 @@
   for (const auto& item : list_field(object, "weekly")) {
     calendar::Weekly weekly;
     for (const auto& day : list_field(item, "days")) {
-      if (!day.is_number_unsigned() || day.get<unsigned>() > 6) throw Malformed("a weekday is none");
+      if (!day.is_number_unsigned() || day.get<unsigned>() > 6) throw ProtocolError("a weekday is none");
       weekly.days.insert(day.get<unsigned>());
     }
     weekly.at_s = time_field(item, "at_s");
@@ -103,7 +103,7 @@
   if (!wire::absent(object, "rank")) {
     const auto rank = wire::count_field(object, "rank");
     if (rank >= kRanks) throw FieldError("rank", "is none");
-    rule.rank = static_cast<wire::Rank>(rank);
+    rule.rank = static_cast<wire::Priority>(rank);
   }
   return rule;
 }
@@ -121,8 +121,8 @@
 }
 }  // namespace
 
-bool TierRule::matches(const std::string& queue, wire::Rank of, bool is_guest) const {
-  return (classes.empty() || classes.contains(queue)) && (!rank || *rank == of) &&
+bool TierRule::matches(const std::string& job_class, wire::Priority of, bool is_guest) const {
+  return (classes.empty() || classes.contains(job_class)) && (!rank || *rank == of) &&
          (!guest || *guest == is_guest);
 }
 
@@ -134,12 +134,12 @@
   if (!tenant.refreshes.empty()) object["refreshes"] = tenant.refreshes;
   if (tenant.tier_floor != kUsual.tier_floor) object["tier_floor"] = tenant.tier_floor;
   if (tenant.tier_ages_s != kUsual.tier_ages_s) object["tier_ages_s"] = tenant.tier_ages_s;
-  for (const auto& [queue, span] : tenant.spans) object["spans"][queue] = span;
+  for (const auto& [job_class, span] : tenant.spans) object["spans"][job_class] = span;
   return object;
 }
 
 TenantPolicy parse_tenant(const Json& object) {
-  if (!object.is_object()) throw Malformed("a tenant's policy is not an object");
+  if (!object.is_object()) throw ProtocolError("a tenant's policy is not an object");
   TenantPolicy tenant;
   for (const auto& item : list_field(object, "calendars")) tenant.calendars.push_back(parse_rules(item));
   for (const auto& item : list_field(object, "tiers")) tenant.rules.push_back(parse_tier(item));
@@ -150,17 +150,17 @@
     if (!object["spans"].is_object()) throw FieldError("spans", "is not an object");
     for (const auto& [queue, span] : object["spans"].items()) {
       if (!span.is_number_unsigned() || span.get<std::uint64_t>() < 1 ||
-          span.get<std::uint64_t>() > wire::kMaxMembers)
-        throw Malformed("a span is none");
+          span.get<std::uint64_t>() > wire::kMaxTasks)
+        throw ProtocolError("a span is none");
       tenant.spans[queue] = span.get<std::uint32_t>();
     }
   }
   return tenant;
 }
 
-std::vector<std::string> Policy::set(const std::string& owner, TenantPolicy tenant) {
+std::vector<std::string> Policy::set(const std::string& team, TenantPolicy tenant) {
   std::vector<std::string> unknown;
-  auto& calendars = calendars_[owner];
+  auto& calendars = calendars_[team];
   calendars.clear();
   for (const auto& rules : tenant.calendars) {
     if (auto zone = calendar::Zone::load(rules.zone))
@@ -168,47 +168,49 @@
     else
       unknown.push_back(rules.name);
   }
-  tenants_[owner] = std::move(tenant);
+  tenants_[team] = std::move(tenant);
   return unknown;
 }
 
-void Policy::erase(const std::string& owner) {
-  tenants_.erase(owner);
-  calendars_.erase(owner);
+void Policy::erase(const std::string& team) {
+  tenants_.erase(team);
+  calendars_.erase(team);
 }
 
-std::uint32_t Policy::span(const std::string& owner, const std::string& queue) const {
-  const auto tenant = tenants_.find(owner);
+std::uint32_t Policy::span(const std::string& team, const std::string& job_class) const {
+  const auto tenant = tenants_.find(team);
   if (tenant == tenants_.end()) return 1;
-  const auto span = tenant->second.spans.find(queue);
+  const auto span = tenant->second.spans.find(job_class);
   return span == tenant->second.spans.end() ? 1 : span->second;
 }
 
-int Policy::tier(const std::string& owner, const std::string& queue, wire::Rank rank, bool guest) const {
-  const auto tenant = tenants_.find(owner);
+int Policy::tier(const std::string& team, const std::string& job_class, wire::Priority priority,
+                 bool guest) const {
+  const auto tenant = tenants_.find(team);
   if (tenant == tenants_.end()) return 0;
   const auto& rules = tenant->second.rules;
-  const auto rule = std::find_if(rules.begin(), rules.end(),
-                                 [&](const TierRule& item) { return item.matches(queue, rank, guest); });
+  const auto rule = std::find_if(rules.begin(), rules.end(), [&](const TierRule& item) {
+    return item.matches(job_class, priority, guest);
+  });
   return rule == rules.end() ? 0 : rule->tier;
 }
 
-bool Policy::refresh(const std::string& owner, const std::string& queue) const {
-  const auto tenant = tenants_.find(owner);
-  return tenant != tenants_.end() && tenant->second.refreshes.contains(queue);
+bool Policy::refresh(const std::string& team, const std::string& job_class) const {
+  const auto tenant = tenants_.find(team);
+  return tenant != tenants_.end() && tenant->second.refreshes.contains(job_class);
 }
 
-const calendar::Calendar* Policy::calendar_of(const std::string& owner, const std::string& queue) const {
-  const auto calendars = calendars_.find(owner);
+const calendar::Calendar* Policy::calendar_of(const std::string& team, const std::string& job_class) const {
+  const auto calendars = calendars_.find(team);
   if (calendars == calendars_.end()) return nullptr;
   const auto found = std::find_if(calendars->second.begin(), calendars->second.end(),
-                                  [&](const auto& item) { return item.rules().classes.contains(queue); });
+                                  [&](const auto& item) { return item.rules().classes.contains(job_class); });
   return found == calendars->second.end() ? nullptr : &*found;
 }
 
-std::optional<double> Policy::cutoff(const std::string& owner, const std::string& queue,
+std::optional<double> Policy::cutoff(const std::string& team, const std::string& job_class,
                                      double accepted_at) const {
-  const auto* found = calendar_of(owner, queue);
+  const auto* found = calendar_of(team, job_class);
   return found == nullptr ? std::nullopt : found->next(accepted_at);
 }
 
@@ -216,11 +218,11 @@
   std::string text =
       "policy: version " + std::to_string(version_) + ", " + std::to_string(tenants_.size()) + " tenants\n";
   std::multimap<double, std::string> ahead;
-  for (const auto& [owner, calendars] : calendars_)
+  for (const auto& [team, calendars] : calendars_)
     for (const auto& item : calendars) {
       auto at = item.next(now);
       for (std::size_t i = 0; i < kShown && at; ++i, at = item.next(*at)) {
-        auto line = item.zone().local_text(*at + item.rules().margin_s) + "  " + owner + ", " +
+        auto line = item.zone().local_text(*at + item.rules().margin_s) + "  " + team + ", " +
                     item.rules().name + ": " + listed(item.rules().classes);
         if (item.rules().margin_s > 0) line += ", over by " + item.zone().local_text(*at).substr(15, 8);
         ahead.emplace(*at + item.rules().margin_s, std::move(line));
@@ -230,8 +232,8 @@
   std::size_t shown = 0;
   for (const auto& [at, line] : ahead)
     if (++shown <= kShown) text += "  " + line + "\n";
-  for (const auto& [owner, tenant] : tenants_) {
-    text += owner + ":\n";
+  for (const auto& [team, tenant] : tenants_) {
+    text += team + ":\n";
     for (const auto& rule : tenant.rules) {
       text += "  tier " + std::to_string(rule.tier) + ": " +
               (rule.classes.empty() ? "all classes" : listed(rule.classes));
@@ -243,15 +245,15 @@
     if (!tenant.rules.empty())
       text += "  floor of lower tiers " + number(tenant.tier_floor) + ", a tier up each " +
               number(tenant.tier_ages_s) + " s of waiting\n";
-    for (const auto& [queue, span] : tenant.spans)
-      text += "  " + queue + ": " + std::to_string(span) + " machines make one replica\n";
+    for (const auto& [job_class, span] : tenant.spans)
+      text += "  " + job_class + ": " + std::to_string(span) + " machines make one replica\n";
   }
   return text;
 }
 
 std::string Policy::fingerprint() const {
   Json all = Json::object();
-  for (const auto& [owner, tenant] : tenants_) all[owner] = to_json(tenant);
+  for (const auto& [team, tenant] : tenants_) all[team] = to_json(tenant);
   // FNV-1a: the same in every process and version, which std::hash is not.
   std::uint64_t hash = 14695981039346656037ULL;
   for (const char c : all.dump()) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -1,5 +1,6 @@
 // What operators set for tenants (teams): deadline calendars, tiers and replicas that span machines. Pure but
-// for the files of time zones. Stored one key a tenant; the records rule, not the file (policy/follower.hpp).
+// for the files of time zones. Stored one key a tenant; the records rule, not the file
+// (policy/policy_watcher.hpp).
 #pragma once
 
 #include <cstdint>
@@ -21,11 +22,11 @@
 
 // A rule that gives some of a tenant's jobs a tier.
 struct TierRule {
-  std::set<std::string> classes;   // empty: any
-  std::optional<wire::Rank> rank;  // none: any
-  std::optional<bool> guest;       // whether the team has no guarantee; none: either
+  std::set<std::string> classes;       // empty: any
+  std::optional<wire::Priority> rank;  // none: any
+  std::optional<bool> guest;           // whether the team has no guarantee; none: either
   int tier = 0;
-  bool matches(const std::string& queue, wire::Rank of, bool is_guest) const;
+  bool matches(const std::string& job_class, wire::Priority of, bool is_guest) const;
   bool operator==(const TierRule&) const = default;
 };
 
@@ -52,24 +53,25 @@
   bool empty() const { return tenants_.empty(); }
   const std::map<std::string, TenantPolicy>& tenants() const { return tenants_; }
   // Calendars whose zones this machine does not know are left out; their names are returned.
-  std::vector<std::string> set(const std::string& owner, TenantPolicy tenant);
-  void erase(const std::string& owner);
+  std::vector<std::string> set(const std::string& team, TenantPolicy tenant);
+  void erase(const std::string& team);
   void set_version(std::uint64_t version) { version_ = version; }
 
   // Machines that make one replica of a class of services; 1: none.
-  std::uint32_t span(const std::string& owner, const std::string& queue) const;
+  std::uint32_t span(const std::string& team, const std::string& job_class) const;
   // The higher goes first.
-  int tier(const std::string& owner, const std::string& queue, wire::Rank rank, bool guest) const;
-  bool refresh(const std::string& owner, const std::string& queue) const;
+  int tier(const std::string& team, const std::string& job_class, wire::Priority priority, bool guest) const;
+  bool refresh(const std::string& team, const std::string& job_class) const;
   // The next cutoff less its margin, of a job accepted then; both time of day, seconds.
-  std::optional<double> cutoff(const std::string& owner, const std::string& queue, double accepted_at) const;
+  std::optional<double> cutoff(const std::string& team, const std::string& job_class,
+                               double accepted_at) const;
   // The next cutoffs and the rules in effect, for operators.
   std::string describe(double now) const;
   // Tells two contents of one version apart: hexadecimal, the same in every process.
   std::string fingerprint() const;
 
  private:
-  const calendar::Calendar* calendar_of(const std::string& owner, const std::string& queue) const;
+  const calendar::Calendar* calendar_of(const std::string& team, const std::string& job_class) const;
 
   std::uint64_t version_ = 0;
   std::map<std::string, TenantPolicy> tenants_;
@@ -84,12 +86,12 @@
 };
 
 // A fault in the operators' file; what() names the line.
-struct BadPolicy : std::runtime_error {
+struct PolicyError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 // One line of the file is at fault; what() is "operator settings: line LINE: PROBLEM".
-class PolicyLineError : public BadPolicy {
+class PolicyLineError : public PolicyError {
  public:
   PolicyLineError(int line, std::string problem);
   int line() const noexcept { return line_; }  // from 1 on
--- a/src/policy/file.cpp
+++ b/src/policy/policy_file.cpp
@@ -19,8 +19,8 @@
 constexpr double kLeastAgesS = 1;
 constexpr double kMostAgesS = 7 * calendar::kDayS;
 const std::vector<std::string> kWeekdays{"sun", "mon", "tue", "wed", "thu", "fri", "sat"};
-const std::vector<wire::Rank> kRanks{wire::Rank::best_effort, wire::Rank::normal, wire::Rank::high,
-                                     wire::Rank::production};
+const std::vector<wire::Priority> kRanks{wire::Priority::best_effort, wire::Priority::normal,
+                                         wire::Priority::high, wire::Priority::production};
 
 [[noreturn]] void fail(const Node& at, const std::string& what) {
   throw PolicyLineError(at.Mark().line + 1, what);
@@ -114,10 +114,10 @@
   void teams(const Node& node, Policy& policy) const {
     if (!node.IsMap()) fail(node, "teams is not a map");
     for (const auto& entry : node) {
-      const auto owner = text(entry.first, "a team");
-      if (!site_.teams.contains(owner)) fail(entry.first, "unknown team '" + owner + "'");
-      if (policy.tenants().contains(owner)) fail(entry.first, "team '" + owner + "' stands twice");
-      policy.set(owner, tenant(entry.second));
+      const auto team = text(entry.first, "a team");
+      if (!site_.teams.contains(team)) fail(entry.first, "unknown team '" + team + "'");
+      if (policy.tenants().contains(team)) fail(entry.first, "team '" + team + "' stands twice");
+      policy.set(team, tenant(entry.second));
     }
   }
 
@@ -149,7 +149,7 @@
     for (const auto& entry : node) {
       const auto name = queue(entry.first);
       const auto span = count(entry.second, "a span", 2);
-      const auto most = site_.most_machines > 0 ? site_.most_machines : std::uint64_t{wire::kMaxMembers};
+      const auto most = site_.most_machines > 0 ? site_.most_machines : std::uint64_t{wire::kMaxTasks};
       if (span > most)
         fail(entry.second, "a replica over " + std::to_string(span) +
                                " machines fits no fleet here: " + std::to_string(most) + " at most");
@@ -168,8 +168,8 @@
              {"rank",
               [&](const Node& item) {
                 const auto name = text(item, "rank");
-                for (const auto rank : kRanks)
-                  if (name == wire::name_of(rank)) rule.rank = rank;
+                for (const auto priority : kRanks)
+                  if (name == wire::name_of(priority)) rule.rank = priority;
                 if (!rule.rank) fail(item, "unknown rank '" + name + "'");
               }},
              {"guest",
@@ -322,7 +322,7 @@
 }  // namespace
 
 PolicyLineError::PolicyLineError(int line, std::string problem)
-    : BadPolicy("operator settings: line " + std::to_string(line) + ": " + problem),
+    : PolicyError("operator settings: line " + std::to_string(line) + ": " + problem),
       line_(line),
       problem_(std::move(problem)) {}
 
@@ -332,7 +332,7 @@
     if (!root.IsMap() || !root["tenants"]) return std::nullopt;
     return Reader(site).read(root["tenants"]);
   } catch (const YAML::Exception& error) {
-    throw BadPolicy(std::string("operator settings: ") + error.what());
+    throw PolicyError(std::string("operator settings: ") + error.what());
   }
 }
 
--- a/src/policy/follower.cpp
+++ b/src/policy/policy_watcher.cpp
@@ -1,4 +1,4 @@
-#include "policy/follower.hpp"
+#include "policy/policy_watcher.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -10,23 +10,23 @@
 using state::Outcome;
 using wire::Json;
 
-Follower::Follower(runtime::Loop& loop, runtime::Log log, state::Store& store, std::optional<Policy> file,
-                   double again_s)
+PolicyWatcher::PolicyWatcher(runtime::Loop& loop, runtime::Log log, state::Store& store,
+                             std::optional<Policy> file, double again_s)
     : Actor(loop), log_(std::move(log)), store_(store), file_(std::move(file)), again_s_(again_s) {
   if (file_) own_ = {file_->version(), file_->fingerprint()};
 }
 
-void Follower::start() {
+void PolicyWatcher::start() {
   if (file_) publish();
 }
 
-void Follower::on(Changed& message) {
+void PolicyWatcher::on(Changed& message) {
   bool changed = false;
   for (const auto& change : *message.changes) {
     const bool head = change.key == wire::kPolicyKey;
-    if ((!head && !change.key.starts_with(wire::kPolicies)) || !view_.apply(change)) continue;
+    if ((!head && !change.key.starts_with(wire::kPolicyKeyPrefix)) || !view_.apply(change)) continue;
     changed = true;
-    head ? learn_head(change) : learn_tenant(change.key.substr(wire::kPolicies.size()), change);
+    head ? learn_head(change) : learn_tenant(change.key.substr(wire::kPolicyKeyPrefix.size()), change);
   }
   if (!changed) return;
   log_->info("policy: version {} of {} tenants is in force", policy_.version(), policy_.tenants().size());
@@ -35,29 +35,29 @@
 }
 
 // One without a readable version rules nothing: any file may take its place.
-void Follower::learn_head(const state::Change& change) {
+void PolicyWatcher::learn_head(const state::Change& change) {
   head_.reset();
   if (!change.data) return;
   try {
     head_ = Head{wire::count_field(*change.data, "version"), wire::text_field(*change.data, "file")};
     policy_.set_version(head_->version);
-  } catch (const wire::Malformed& error) {
+  } catch (const wire::ProtocolError& error) {
     log_->error("policy: {} cannot be read ({})", change.key, error.what());
   } catch (const Json::exception& error) {
     log_->error("policy: {} cannot be read ({})", change.key, error.what());
   }
 }
 
-void Follower::learn_tenant(const std::string& owner, const state::Change& change) {
-  read_.erase(owner);
-  if (!change.data) return policy_.erase(owner);
+void PolicyWatcher::learn_tenant(const std::string& team, const state::Change& change) {
+  read_.erase(team);
+  if (!change.data) return policy_.erase(team);
   try {
-    for (const auto& name : policy_.set(owner, parse_tenant(*change.data)))
+    for (const auto& name : policy_.set(team, parse_tenant(*change.data)))
       log_->error(
           "policy: {}: the time zone of calendar '{}' is not known here: jobs accepted here get no cutoff",
-          owner, name);
-    read_.insert(owner);
-  } catch (const wire::Malformed& error) {
+          team, name);
+    read_.insert(team);
+  } catch (const wire::ProtocolError& error) {
     log_->error("policy: {} cannot be read ({}): the last one that could stays in force", change.key,
                 error.what());
   } catch (const Json::exception& error) {
@@ -66,7 +66,7 @@
   }
 }
 
-bool Follower::file_rules() {
+bool PolicyWatcher::file_rules() {
   if (!head_ || head_->version < own_.version || *head_ == own_) return true;
   if (std::exchange(told_, true)) return false;
   if (head_->version > own_.version)
@@ -78,16 +78,16 @@
 }
 
 // Two files of one version: all must go by the same, and the first one that was stored is it.
-void Follower::warn_of_difference() {
+void PolicyWatcher::warn_of_difference() {
   std::string differ;
   const auto& stored = policy_.tenants();
-  const auto add = [&](const std::string& owner) { differ += (differ.empty() ? "" : ", ") + owner; };
-  for (const auto& [owner, tenant] : file_->tenants()) {
-    const auto found = stored.find(owner);
-    if (found == stored.end() || !(found->second == tenant)) add(owner);
+  const auto add = [&](const std::string& team) { differ += (differ.empty() ? "" : ", ") + team; };
+  for (const auto& [team, tenant] : file_->tenants()) {
+    const auto found = stored.find(team);
+    if (found == stored.end() || !(found->second == tenant)) add(team);
   }
-  for (const auto& [owner, tenant] : stored)
-    if (!file_->tenants().contains(owner)) add(owner);
+  for (const auto& [team, tenant] : stored)
+    if (!file_->tenants().contains(team)) add(team);
   log_->warn(
       "policy: this controller's file differs from what is stored under the same version, {}, in {}: the "
       "stored "
@@ -95,20 +95,21 @@
       own_.version, differ.empty() ? "nothing that is read here" : differ);
 }
 
-std::vector<state::Write> Follower::lacking() const {
+std::vector<state::Write> PolicyWatcher::lacking() const {
   std::vector<state::Write> writes;
-  for (const auto& [owner, tenant] : file_->tenants()) {
-    const auto found = policy_.tenants().find(owner);
-    if (!read_.contains(owner) || found == policy_.tenants().end() || !(found->second == tenant))
-      writes.push_back({wire::policy_key(owner), to_json(tenant), std::nullopt});
+  for (const auto& [team, tenant] : file_->tenants()) {
+    const auto found = policy_.tenants().find(team);
+    if (!read_.contains(team) || found == policy_.tenants().end() || !(found->second == tenant))
+      writes.push_back({wire::policy_key(team), to_json(tenant), std::nullopt});
   }
   for (const auto& [key, entry] : view_.entries())
-    if (key.starts_with(wire::kPolicies) && !file_->tenants().contains(key.substr(wire::kPolicies.size())))
+    if (key.starts_with(wire::kPolicyKeyPrefix) &&
+        !file_->tenants().contains(key.substr(wire::kPolicyKeyPrefix.size())))
       writes.push_back({key, std::nullopt, std::nullopt});
   return writes;
 }
 
-void Follower::publish() {
+void PolicyWatcher::publish() {
   timer_.reset();
   // Not before all keys were read: what is not known is not "older".
   if (writing_ || !store_.synced()) {
@@ -131,19 +132,19 @@
   state::Transaction transaction;
   // The head decides between two files, and against what comes late: nothing of an older file is written
   // once a newer has its head.
-  transaction.when.push_back({wire::kPolicyKey, view_.stamp(wire::kPolicyKey)});
+  transaction.conditions.push_back({wire::kPolicyKey, view_.revision(wire::kPolicyKey)});
   if (new_head)
     transaction.writes.push_back(
         {wire::kPolicyKey, Json{{"version", own_.version}, {"file", own_.fingerprint}}, std::nullopt});
   for (auto& write : writes) {
     if (transaction.writes.size() >= store_.limits().txn_ops) break;
-    transaction.when.push_back({write.key, view_.stamp(write.key)});
+    transaction.conditions.push_back({write.key, view_.revision(write.key)});
     transaction.writes.push_back(std::move(write));
   }
   writing_ = true;
   store_.tell(state::Commit{std::move(transaction), guard([this](state::CommitResult result) {
                               writing_ = false;
-                              if (result.outcome == Outcome::done)
+                              if (result.outcome == Outcome::committed)
                                 log_->info("policy: records of version {} written", own_.version);
                               // Whatever became of it, the watch tells; what is lacking then is written then.
                               timer_ = loop().after(again_s_, [this] { publish(); });
--- a/src/policy/follower.hpp
+++ b/src/policy/policy_watcher.hpp
@@ -22,11 +22,11 @@
 };
 
 // Holds the policy in force, and writes this controller's file where it is newer.
-class Follower : public runtime::Actor<Follower, Changed> {
+class PolicyWatcher : public runtime::Actor<PolicyWatcher, Changed> {
  public:
   // `file`: what this controller was started with; `again_s`: until what could not be written is tried again.
-  Follower(runtime::Loop& loop, runtime::Log log, state::Store& store, std::optional<Policy> file,
-           double again_s);
+  PolicyWatcher(runtime::Loop& loop, runtime::Log log, state::Store& store, std::optional<Policy> file,
+                double again_s);
   void start();
   void on(Changed& message);
 
@@ -42,7 +42,7 @@
     bool operator==(const Head&) const = default;
   };
   void learn_head(const state::Change& change);
-  void learn_tenant(const std::string& owner, const state::Change& change);
+  void learn_tenant(const std::string& team, const state::Change& change);
   // Commits what the records lack of the file, and sees to it that this is tried until nothing is lacking or
   // a newer file rules.
   void publish();
@@ -57,7 +57,7 @@
   double again_s_;
   Policy policy_;
   std::optional<Head> head_;
-  state::View view_;            // of the policy's records
+  state::StoreCache view_;      // of the policy's records
   std::set<std::string> read_;  // tenants whose newest record could be read
   bool writing_ = false;
   bool told_ = false;  // that the file does not rule, or cannot be stored
--- a/src/queue/due.cpp
+++ b/src/queue/deadline.cpp
@@ -1,4 +1,4 @@
-#include "queue/due.hpp"
+#include "queue/deadline.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -14,20 +14,21 @@
 // fit.
 constexpr double kHopeful = 0.75;
 
-double own_due_in(const Goals& goals, const model::Job& job, const Deadline& deadline, double wall,
+double own_due_in(const Objectives& goals, const model::Job& job, const Deadline& deadline, double wall,
                   double least) {
   // The deadline of a pipeline stands on its last job, and counts from that one's submission.
   const auto& last = deadline.last == nullptr ? job : *deadline.last;
-  if (last.spec.due_s) {
+  if (last.spec.deadline_s) {
     const double passed = wall - last.accepted_at + deadline.rest_s;
     static const std::vector<double> kOnce{1.0};
-    const auto times = goals.deadline_times.find(last.spec.queue);
+    const auto times = goals.deadline_times.find(last.spec.job_class);
     for (const double multiple : times == goals.deadline_times.end() ? kOnce : times->second)
-      if (*last.spec.due_s * multiple - passed >= least) return *last.spec.due_s * multiple - passed;
+      if (*last.spec.deadline_s * multiple - passed >= least)
+        return *last.spec.deadline_s * multiple - passed;
     return std::numeric_limits<double>::infinity();
   }
-  const double waited = wall - job.ready_at;
-  if (const auto within = goals.within_s.find(job.spec.queue); within != goals.within_s.end())
+  const double waited = wall - job.eligible_at;
+  if (const auto within = goals.within_s.find(job.spec.job_class); within != goals.within_s.end())
     for (const double time : within->second)
       if (time - waited >= least) return time - waited;
   return std::numeric_limits<double>::infinity();
@@ -38,7 +39,8 @@
   return deadline.last != nullptr && deadline.last->cutoff ? deadline.last->cutoff : job.cutoff;
 }
 
-double due_in(const Goals& goals, const model::Job& job, const Deadline& deadline, double wall) {
+double time_to_deadline(const Objectives& goals, const model::Job& job, const Deadline& deadline,
+                        double wall) {
   const double least = kHopeful * task_s(job);
   const double due = own_due_in(goals, job, deadline, wall, least);
   const auto by = cutoff(job, deadline);
@@ -50,9 +52,9 @@
 
 // A job that is too late for its deadline would, with slack 0, go before those that still can make theirs
 // and make them late in turn: it ranks like one without a deadline.
-double slack(const Goals& goals, const model::Job& job, const Deadline& deadline, double wall) {
-  const double due = due_in(goals, job, deadline, wall);
-  return planner::slack(job.service(), std::isinf(due) ? std::nullopt : std::optional<double>(due),
+double slack(const Objectives& goals, const model::Job& job, const Deadline& deadline, double wall) {
+  const double due = time_to_deadline(goals, job, deadline, wall);
+  return planner::slack(job.is_service(), std::isinf(due) ? std::nullopt : std::optional<double>(due),
                         task_s(job));
 }
 
--- a/src/queue/due.hpp
+++ b/src/queue/deadline.hpp
@@ -12,7 +12,7 @@
 namespace bankhill::queue {
 
 // The objectives, by class of jobs.
-struct Goals {
+struct Objectives {
   std::map<std::string, std::vector<double>> within_s;  // times in which its jobs should be done, rising
   std::map<std::string, std::vector<double>> deadline_times;  // multiples of their own deadlines, rising
 };
@@ -24,7 +24,7 @@
 };
 
 // Estimated run time of one of its tasks.
-inline double task_s(const model::Job& job) { return job.spec.guess_s; }
+inline double task_s(const model::Job& job) { return job.spec.estimated_runtime_s; }
 
 // The cutoff of its tenant's calendar (time of day), in a pipeline that of the last job.
 std::optional<double> cutoff(const model::Job& job, const Deadline& deadline);
@@ -32,9 +32,10 @@
 // Time left until the first of the job's deadlines that it can still meet; infinite if there is none. A
 // cutoff that can be met and is earlier takes its place: all that calendars change in the order. `wall` is
 // the time of day.
-double due_in(const Goals& goals, const model::Job& job, const Deadline& deadline, double wall);
+double time_to_deadline(const Objectives& goals, const model::Job& job, const Deadline& deadline,
+                        double wall);
 
 // What it can wait without missing that. Services have 0, jobs that are due no more the largest.
-double slack(const Goals& goals, const model::Job& job, const Deadline& deadline, double wall);
+double slack(const Objectives& goals, const model::Job& job, const Deadline& deadline, double wall);
 
 }  // namespace bankhill::queue
--- a/src/queue/queue.cpp
+++ b/src/queue/job_queue.cpp
@@ -1,4 +1,4 @@
-#include "queue/queue.hpp"
+#include "queue/job_queue.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -10,7 +10,7 @@
 using model::Job;
 
 namespace {
-// A waiting job may cost this part of a pace between two orders of all of them.
+// A waiting job may cost this part of a control interval between two orders of all of them.
 constexpr double kOrderPaces = 1.0 / 10000;
 constexpr double kNever = -1e9;
 // Parts of the time in which the largest should begin: the rest is for a task of others to end.
@@ -23,17 +23,17 @@
 // half done when it ends (lakaskalk-fleet, flood: with a quarter 92 of 175 done).
 constexpr double kLargestTurns = 0.6;
 
-bool before(const Candidate& a, const Candidate& b) { return a.place < b.place; }
+bool before(const Candidate& a, const Candidate& b) { return a.order_key < b.order_key; }
 }  // namespace
 
-Queue::Queue(Settings settings, Facts facts)
+JobQueue::JobQueue(Settings settings, Facts facts)
     : settings_(std::move(settings)),
       facts_(std::move(facts)),
       ordered_at_(kNever),
       overload_({settings_.round_s}),
       largest_(kLargestPart, settings_.begin_within_s) {}
 
-void Queue::reset() {
+void JobQueue::reset() {
   jobs_.clear();
   order_.clear();
   new_.clear();
@@ -43,62 +43,64 @@
   held_.clear();
 }
 
-void Queue::enter(Job& job) {
-  if (jobs_.emplace(job.spec.uid, &job).second) new_.insert(job.spec.uid);
+void JobQueue::enter(Job& job) {
+  if (jobs_.emplace(job.spec.id, &job).second) new_.insert(job.spec.id);
 }
 
-void Queue::leave(const wire::JobId& id) { jobs_.erase(id); }
+void JobQueue::leave(const wire::JobId& id) { jobs_.erase(id); }
 
-void Queue::hold(const shares::Party& party, bool largest, double cores) { held_[{party, largest}] += cores; }
+void JobQueue::book(const fair_share::Party& party, bool largest, double cores) {
+  held_[{party, largest}] += cores;
+}
 
 // The exception to the order by slack: by slack alone a flood makes every job late.
-bool Queue::observe(double now, double wanted, double lacking) {
+bool JobQueue::observe(double now, double wanted, double lacking) {
   if (!overload_.observe(now, wanted, lacking)) return false;
   ordered_at_ = kNever;
   return true;
 }
 
-Job* Queue::find(const wire::JobId& id) const {
+Job* JobQueue::find(const wire::JobId& id) const {
   const auto found = jobs_.find(id);
   return found == jobs_.end() ? nullptr : found->second;
 }
 
-double Queue::due_in(const Job& job, double wall) const {
-  return queue::due_in(settings_.goals, job, facts_.deadline(job), wall);
+double JobQueue::time_to_deadline(const Job& job, double wall) const {
+  return queue::time_to_deadline(settings_.objectives, job, facts_.deadline(job), wall);
 }
 
-Candidate Queue::candidate(const Job& job, double wall) const {
+Candidate JobQueue::candidate(const Job& job, double wall) const {
   // A faulty job holds neither its deadline's rank nor its team's guarantee against good ones.
   const bool borrows = job.faulty || !facts_.within_guarantee(job);
   const double rest = job.faulty ? std::numeric_limits<double>::max()
-                                 : slack(settings_.goals, job, facts_.deadline(job), wall);
-  return {{!job.service(), true, borrows, rest, job.ready_at},
-          job.spec.uid,
-          job.spec.need,
-          job.spec.reclaimable,
+                                 : slack(settings_.objectives, job, facts_.deadline(job), wall);
+  return {{!job.is_service(), true, borrows, rest, job.eligible_at},
+          job.spec.id,
+          job.spec.request,
+          job.spec.allows_preemptible,
           task_s(job),
           false};
 }
 
 // The floor under slack, guarantees and turns: one task, so that they cost next to nothing. Ages count from
-// the records' times: a new reign does not start them anew.
-bool Queue::must_begin(const Job& job, double wall) const { return !job.begun() && overdue(job, wall); }
+// the records' times: a new term does not start them anew.
+bool JobQueue::must_begin(const Job& job, double wall) const { return !job.started() && overdue(job, wall); }
 
-bool Queue::overdue(const Job& job, double wall) const {
-  if (job.service() || job.faulty || job.bound > 0) return false;
-  if (wall - job.ready_at < kMustBegin * settings_.begin_within_s) return false;
+bool JobQueue::overdue(const Job& job, double wall) const {
+  if (job.is_service() || job.faulty || job.assigned > 0) return false;
+  if (wall - job.eligible_at < kMustBegin * settings_.begin_within_s) return false;
   return largest_.is(job);
 }
 
-Candidate Queue::first_task(Candidate candidate) {
+Candidate JobQueue::first_task(Candidate candidate) {
   candidate.first_only = true;
-  candidate.place.may_wait = candidate.place.borrows = false;
-  candidate.place.rest = 0;
+  candidate.order_key.may_wait = candidate.order_key.borrows = false;
+  candidate.order_key.rest = 0;
   return candidate;
 }
 
-const std::vector<Candidate>& Queue::in_order(Time time) {
-  const double lasts = kOrderPaces * settings_.pace_s * static_cast<double>(jobs_.size());
+const std::vector<Candidate>& JobQueue::in_order(Time time) {
+  const double lasts = kOrderPaces * settings_.control_interval_s * static_cast<double>(jobs_.size());
   if (time.now - ordered_at_ < lasts) {
     add_new(time.wall);
     // What may start by now, or ranks otherwise, is seen with the next order: that must come without an
@@ -113,7 +115,7 @@
   return order_;
 }
 
-void Queue::add_new(double wall) {
+void JobQueue::add_new(double wall) {
   for (const auto& id : std::exchange(new_, {})) {
     const auto* job = find(id);
     if (job == nullptr || !facts_.may_start(*job)) continue;
@@ -127,13 +129,13 @@
   }
 }
 
-void Queue::order_all(double wall) {
+void JobQueue::order_all(double wall) {
   new_.clear();
   order_.clear();
   for (auto& [id, job] : jobs_) {
     if (!facts_.may_start(*job)) continue;
     order_.push_back(candidate(*job, wall));
-    if (job->reason.empty() && jobs_.size() > kLookedAt) job->reason = kNoRoom;
+    if (job->reason.empty() && jobs_.size() > kCandidatesTried) job->reason = kNoMachineHasRoom;
   }
   if (overload_.on()) take_turns(wall);
   const auto all = order_.size();
@@ -142,23 +144,24 @@
   std::sort(order_.begin(), order_.end(), before);
 }
 
-void Queue::take_turns(double wall) {
-  std::vector<shares::Waiting> batches;
+void JobQueue::take_turns(double wall) {
+  std::vector<fair_share::Waiting> batches;
   std::vector<Candidate*> takers;
   for (auto& item : order_) {
     const auto& job = *jobs_.at(item.id);
-    if (job.service() || job.faulty) continue;
-    const double cores = job.spec.need.cores;
+    if (job.is_service() || job.faulty) continue;
+    const double cores = job.spec.request.cores;
     takers.push_back(&item);
-    batches.push_back({{job.spec.owner, job.spec.queue},
+    batches.push_back({{job.spec.team, job.spec.job_class},
                        cores * job.ready,
                        cores * job.unfinished() * std::max(1.0, task_s(job)),
-                       std::isinf(due_in(job, wall)),
-                       job.ready_at,
+                       std::isinf(time_to_deadline(job, wall)),
+                       job.eligible_at,
                        largest_.is(job)});
   }
-  const auto turn = shares::turns(batches, held_, settings_.weights, kLargestTurns * settings_.largest_share);
-  for (std::size_t i = 0; i < takers.size(); ++i) takers[i]->place.rest = turn[i];
+  const auto turn = fair_share::fair_share_order(batches, held_, settings_.weights,
+                                                 kLargestTurns * settings_.largest_share);
+  for (std::size_t i = 0; i < takers.size(); ++i) takers[i]->order_key.rest = turn[i];
 }
 
 }  // namespace bankhill::queue
--- a/src/queue/queue.hpp
+++ b/src/queue/job_queue.hpp
@@ -10,18 +10,18 @@
 #include <string>
 #include <vector>
 
+#include "fair_share/fair_share_order.hpp"
+#include "fair_share/overload_detector.hpp"
 #include "model/job.hpp"
-#include "queue/due.hpp"
-#include "queue/largest.hpp"
-#include "shares/overload.hpp"
-#include "shares/turns.hpp"
+#include "queue/deadline.hpp"
+#include "queue/largest_jobs.hpp"
 
 namespace bankhill::queue {
 
 // Why a job waits, until more is known.
-inline const std::string kNoRoom = "no machine has room yet";
+inline const std::string kNoMachineHasRoom = "no machine has room yet";
 // Where no more wait than this, each is looked at and told its reason by that.
-constexpr std::size_t kLookedAt = 16;
+constexpr std::size_t kCandidatesTried = 16;
 
 struct Time {
   double now = 0;   // steady clock, seconds
@@ -29,31 +29,31 @@
 };
 
 // Where a job stands: the first member that differs decides, the lower goes first.
-struct Place {
+struct OrderKey {
   bool batch = false;
   bool may_wait = true;  // false: has waited for so long that one task of it is started before all others
   bool borrows = false;  // beyond its team's guarantee
   double rest = 0;       // slack in seconds, or its turn in overload
   double age = 0;        // time of day from when its waiting counts
-  auto operator<=>(const Place&) const = default;
+  auto operator<=>(const OrderKey&) const = default;
 };
 
 struct Candidate {  // a job with tasks to place, as it was when they were last put in order
-  Place place;
+  OrderKey order_key;
   wire::JobId id;
-  wire::Amounts need;
-  bool reclaimable = false;
+  wire::Resources request;
+  bool allows_preemptible = false;
   double task_s = 0;
   bool first_only = false;  // this is for its first task; the others stand at another place
 };
 
-class Queue {
+class JobQueue {
  public:
   struct Settings {
-    double pace_s = 3;
+    double control_interval_s = 3;
     double round_s = 15;
-    Goals goals;
-    std::map<std::string, double> weights;  // teams' shares in overload (shares/turns.hpp)
+    Objectives objectives;
+    std::map<std::string, double> weights;  // teams' shares in overload (fair_share/fair_share_order.hpp)
     double begin_within_s = 240;            // in which the largest of a class should begin
     double largest_share = 0.5;             // part of the largest of a class that should be served
   };
@@ -65,17 +65,17 @@
   };
   using Jobs = std::map<wire::JobId, model::Job*>;
 
-  Queue(Settings settings, Facts facts);
+  JobQueue(Settings settings, Facts facts);
 
   // A job was accepted, whoever leads: each is told once, in any order.
   void came(const model::Job& job) { largest_.came(job); }
-  // A reign begins or ends: what is known is of another.
+  // A term begins or ends: what is known is of another.
   void reset();
   // A job has tasks to place, or has more. It must stay where it is until it leaves.
   void enter(model::Job& job);
   void leave(const wire::JobId& id);
   // A team's tasks of a class hold so many cores more, or less.
-  void hold(const shares::Party& party, bool largest, double cores);
+  void book(const fair_share::Party& party, bool largest, double cores);
   // Cores that the plan wants and those of them that cannot be had; says whether overload has just begun or
   // ended.
   bool observe(double now, double wanted, double lacking);
@@ -89,7 +89,7 @@
 
   const Jobs& jobs() const { return jobs_; }
   model::Job* find(const wire::JobId& id) const;
-  double due_in(const model::Job& job, double wall) const;
+  double time_to_deadline(const model::Job& job, double wall) const;
   bool largest(const model::Job& job) const { return largest_.is(job); }
   // Whether it has waited for so long without a task of it started that it must begin now: it is among the
   // largest of its class.
@@ -114,9 +114,9 @@
   std::set<wire::JobId> new_;     // since they were put in order
   double ordered_at_ = 0;         // steady clock
   double again_s_ = 0;
-  shares::Overload overload_;
-  shares::Held held_;  // cores of batch tasks bound
-  Largest largest_;
+  fair_share::OverloadDetector overload_;
+  fair_share::Held held_;  // cores of batch tasks bound
+  LargestJobs largest_;
 };
 
 }  // namespace bankhill::queue
--- a/src/queue/largest.cpp
+++ b/src/queue/largest_jobs.cpp
@@ -1,4 +1,4 @@
-#include "queue/largest.hpp"
+#include "queue/largest_jobs.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -45,24 +45,24 @@
   return result;
 }
 
-void Largest::came(const model::Job& job) {
-  if (job.service()) return;
-  auto& sizes = classes_[job.spec.queue];
-  sizes.tasks.add(job.spec.members, job.accepted_at, half_life_s_);
-  sizes.cores.add(job.spec.need.cores, job.accepted_at, half_life_s_);
+void LargestJobs::came(const model::Job& job) {
+  if (job.is_service()) return;
+  auto& sizes = classes_[job.spec.job_class];
+  sizes.tasks.add(job.spec.task_count, job.accepted_at, half_life_s_);
+  sizes.cores.add(job.spec.request.cores, job.accepted_at, half_life_s_);
 }
 
 // Of equals none is the largest, unless so few came that a part of them is less than one.
-bool Largest::top(const SizeSketch& sketch, double size) const {
-  const auto rank = sketch.rank(size);
-  const bool few = rank.weight * part_ < 1;
-  return few ? rank.larger <= 0 : rank.larger < part_ && rank.smaller >= kSmaller;
+bool LargestJobs::top(const SizeSketch& sketch, double size) const {
+  const auto priority = sketch.rank(size);
+  const bool few = priority.weight * part_ < 1;
+  return few ? priority.larger <= 0 : priority.larger < part_ && priority.smaller >= kSmaller;
 }
 
-bool Largest::is(const model::Job& job) const {
-  const auto found = classes_.find(job.spec.queue);
-  if (job.service() || found == classes_.end()) return false;
-  return top(found->second.tasks, job.spec.members) || top(found->second.cores, job.spec.need.cores);
+bool LargestJobs::is(const model::Job& job) const {
+  const auto found = classes_.find(job.spec.job_class);
+  if (job.is_service() || found == classes_.end()) return false;
+  return top(found->second.tasks, job.spec.task_count) || top(found->second.cores, job.spec.request.cores);
 }
 
 }  // namespace bankhill::queue
--- a/src/queue/largest.hpp
+++ b/src/queue/largest_jobs.hpp
@@ -32,10 +32,10 @@
   double at_ = 0;  // time of day of the youngest: the weights are as of then
 };
 
-class Largest {
+class LargestJobs {
  public:
   // Of a class the `part` with the largest sizes counts; what came earlier than a half-life weighs half.
-  Largest(double part, double half_life_s) : part_(part), half_life_s_(half_life_s) {}
+  LargestJobs(double part, double half_life_s) : part_(part), half_life_s_(half_life_s) {}
 
   // A job that was accepted, once. Services do not count.
   void came(const model::Job& job);
--- a/src/state/reader.cpp
+++ b/src/state/key_fetcher.cpp
@@ -1,4 +1,4 @@
-#include "state/reader.hpp"
+#include "state/key_fetcher.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -11,28 +11,28 @@
 constexpr int kDoublings = 4;  // up to 8 s
 }  // namespace
 
-void Reader::on(Read& message) {
+void KeyFetcher::on(FetchRequest& message) {
   waiting_.push_back(std::make_shared<Pending>(Pending{std::move(message), 0, {}}));
   next();
 }
 
-void Reader::next() {
+void KeyFetcher::next() {
   while (under_way_ < kAtOnce && !waiting_.empty()) {
     auto pending = std::move(waiting_.front());
     waiting_.pop_front();
     ++under_way_;
-    store_.tell(Fetch{pending->read.key, guard([this, pending](const KeyAnswer& answer) {
-                        --under_way_;
-                        if (answer.status == KeyStatus::unknown)
-                          refused(pending);
-                        else
-                          pending->read.done(answer.entry);
-                        next();
-                      })});
+    store_.tell(FetchKey{pending->read.key, guard([this, pending](const KeyAnswer& answer) {
+                           --under_way_;
+                           if (answer.status == KeyStatus::unknown)
+                             refused(pending);
+                           else
+                             pending->read.done(answer.entry);
+                           next();
+                         })});
   }
 }
 
-void Reader::refused(std::shared_ptr<Pending> pending) {
+void KeyFetcher::refused(std::shared_ptr<Pending> pending) {
   const double wait = kAgainS * static_cast<double>(1 << std::min(pending->refused++, kDoublings));
   later_.insert(pending);
   // A plain pointer: the timer is the pending read's own.
--- a/src/state/reader.hpp
+++ b/src/state/key_fetcher.hpp
@@ -15,20 +15,20 @@
 namespace bankhill::state {
 
 // Message: reads one key.
-struct Read {
+struct FetchRequest {
   std::string key;
   std::function<void(const std::optional<Entry>&)> done;  // empty: the key does not exist
 };
 
 // The actor that reads them.
-class Reader : public runtime::Actor<Reader, Read> {
+class KeyFetcher : public runtime::Actor<KeyFetcher, FetchRequest> {
  public:
-  Reader(runtime::Loop& loop, Store& store) : Actor(loop), store_(store) {}
-  void on(Read& message);
+  KeyFetcher(runtime::Loop& loop, Store& store) : Actor(loop), store_(store) {}
+  void on(FetchRequest& message);
 
  private:
   struct Pending {
-    Read read;
+    FetchRequest read;
     int refused = 0;
     runtime::Timer again;
   };
--- a/src/state/state_protocol.cpp
+++ b/src/state/state_protocol.cpp
@@ -35,19 +35,19 @@
   return response.status == kTooManyRequests ? AnswerError::limited : AnswerError::unusable;
 }
 
-Change parse_change(const Json& item, wire::Stamp stamp) {
-  if (item.contains("write")) return {wire::text_field(item, "write"), item.value("data", Json()), stamp};
-  return {wire::text_field(item, "delete"), std::nullopt, stamp};
+Change parse_change(const Json& item, wire::KeyRevision revision) {
+  if (item.contains("write")) return {wire::text_field(item, "write"), item.value("data", Json()), revision};
+  return {wire::text_field(item, "delete"), std::nullopt, revision};
 }
 
 Json encode(const Condition& condition) {
-  return Json{{"k", condition.key}, {"stamp", condition.stamp.value}};
+  return Json{{"k", condition.key}, {"stamp", condition.revision.value}};
 }
 
 Json encode(const Write& write) {
   if (!write.data) return Json{{"delete", write.key}};
   Json item{{"write", write.key}, {"data", *write.data}};
-  if (write.hold) item["hold"] = *write.hold;
+  if (write.lease_id) item["hold"] = *write.lease_id;
   return item;
 }
 
@@ -61,13 +61,13 @@
 Outcome outcome_of(int status) {
   switch (status) {
     case kOk:
-      return Outcome::done;
+      return Outcome::committed;
     case kConflict:
       return Outcome::conflict;
     case kBadRequest:
-      return Outcome::malformed;
+      return Outcome::invalid;
     case kTooManyRequests:
-      return Outcome::limited;
+      return Outcome::rate_limited;
     case kNoAnswer:
       return Outcome::unknown;
     default:
@@ -79,7 +79,7 @@
 }  // namespace
 
 Request list_request(const std::string& after_key) {
-  std::string path = "/keys?starts=" + wire::kRoot + "&most=" + std::to_string(kPageSize);
+  std::string path = "/keys?starts=" + wire::kKeyPrefix + "&most=" + std::to_string(kPageSize);
   if (!after_key.empty()) path += "&after=" + after_key;
   return {Method::get, std::move(path), ""};
 }
@@ -88,32 +88,32 @@
   const Json body = parse_success(response, "items");
   if (body.is_null()) return error_of(response);
   KeyPage page;
-  if (is_first) page.epoch = wire::Epoch{wire::count_field(body, "epoch")};
+  if (is_first) page.epoch = wire::StoreRevision{wire::count_field(body, "epoch")};
   for (const auto& item : body["items"]) {
-    const wire::Stamp stamp{wire::count_field(item, "stamp")};
-    page.entries.emplace_back(wire::text_field(item, "k"), Entry{item.value("data", Json()), stamp});
+    const wire::KeyRevision revision{wire::count_field(item, "stamp")};
+    page.entries.emplace_back(wire::text_field(item, "k"), Entry{item.value("data", Json()), revision});
   }
   page.has_next = body.value("has_next", false);
   return page;
 }
 
-Request watch_request(wire::Epoch after, int block_ms) {
+Request watch_request(wire::StoreRevision after, int block_ms) {
   return {Method::get,
-          "/watch?starts=" + wire::kRoot + "&after=" + std::to_string(after.value) +
+          "/watch?starts=" + wire::kKeyPrefix + "&after=" + std::to_string(after.value) +
               "&block_ms=" + std::to_string(block_ms),
           ""};
 }
 
-std::variant<News, AnswerError> parse_watch(const Response& response, wire::Epoch known) {
+std::variant<News, AnswerError> parse_watch(const Response& response, wire::StoreRevision known) {
   if (response.status == kGone) return AnswerError::compacted;
   const Json body = parse_success(response, "epoch");
   if (body.is_null()) return error_of(response);
   News news;
-  news.epoch = wire::Epoch{wire::count_field(body, "epoch")};
+  news.epoch = wire::StoreRevision{wire::count_field(body, "epoch")};
   if (wire::absent(body, "news")) return news;
   for (const auto& item : body["news"]) {
-    const wire::Stamp stamp{wire::count_field(item, "stamp")};
-    if (stamp.value > known.value) news.changes.push_back(parse_change(item, stamp));
+    const wire::KeyRevision revision{wire::count_field(item, "stamp")};
+    if (revision.value > known.value) news.changes.push_back(parse_change(item, revision));
   }
   return news;
 }
@@ -124,11 +124,11 @@
   if (response.status == kNotFound) return {KeyStatus::missing, std::nullopt};
   const Json body = parse_success(response, "data");
   if (body.is_null()) return {KeyStatus::unknown, std::nullopt};
-  return {KeyStatus::found, Entry{body["data"], wire::Stamp{wire::count_field(body, "stamp")}}};
+  return {KeyStatus::found, Entry{body["data"], wire::KeyRevision{wire::count_field(body, "stamp")}}};
 }
 
 Request commit_request(const Transaction& transaction) {
-  const Json body{{"when", encode_all(transaction.when)}, {"writes", encode_all(transaction.writes)}};
+  const Json body{{"when", encode_all(transaction.conditions)}, {"writes", encode_all(transaction.writes)}};
   return {Method::post, "/commit", body.dump()};
 }
 
@@ -136,7 +136,7 @@
   CommitResult result;
   const Json body = parse_body(response);
   if (body.is_object() && body.contains("epoch"))
-    result.epoch = wire::Epoch{wire::count_field(body, "epoch")};
+    result.revision = wire::StoreRevision{wire::count_field(body, "epoch")};
   result.outcome = outcome_of(response.status);
   return result;
 }
--- a/src/state/state_protocol.hpp
+++ b/src/state/state_protocol.hpp
@@ -12,8 +12,8 @@
 #include <vector>
 
 #include "net/http.hpp"
+#include "state/store_cache.hpp"
 #include "state/transaction.hpp"
-#include "state/view.hpp"
 
 namespace bankhill::state::protocol {
 
@@ -26,14 +26,14 @@
 
 // One page of a list of all keys, in their order.
 struct KeyPage {
-  wire::Epoch epoch;  // that the whole list is as new as; of the first page only
+  wire::StoreRevision epoch;  // that the whole list is as new as; of the first page only
   std::vector<std::pair<std::string, Entry>> entries;
   bool has_next = false;
 };
 
 // What has changed since a watch's starting point.
 struct News {
-  wire::Epoch epoch;  // up to which every change is told
+  wire::StoreRevision epoch;  // up to which every change is told
   std::vector<Change> changes;
 };
 
@@ -61,9 +61,9 @@
 std::variant<KeyPage, AnswerError> parse_list(const net::Response& response, bool is_first);
 
 // The changes after this revision. Without any the service waits this long for one; 0: it answers at once.
-net::Request watch_request(wire::Epoch after, int block_ms);
+net::Request watch_request(wire::StoreRevision after, int block_ms);
 // Changes up to `known` are left out.
-std::variant<News, AnswerError> parse_watch(const net::Response& response, wire::Epoch known);
+std::variant<News, AnswerError> parse_watch(const net::Response& response, wire::StoreRevision known);
 
 net::Request key_request(const std::string& key);
 KeyAnswer parse_key(const net::Response& response);
--- a/src/state/store.cpp
+++ b/src/state/store.cpp
@@ -37,7 +37,7 @@
 
 // Of the limit of requests, for this controller.
 double requests(const Limits& limits, double share) {
-  return limits.rps * share / static_cast<double>(limits.controllers);
+  return limits.requests_per_s * share / static_cast<double>(limits.controllers);
 }
 }  // namespace
 
@@ -47,12 +47,14 @@
       log_(std::move(log)),
       address_(std::move(address)),
       limits_(limits),
-      writes_(limits.write_rps * kWritesUsed, limits.write_rps * kWritesUsed),
+      writes_(limits.writes_per_s * kWritesUsed, limits.writes_per_s * kWritesUsed),
       fetches_(requests(limits, kFetchShare), std::max(1.0, requests(limits, kFetchShare))) {}
 
-bool Store::writes_used_up() { return writes_.level(loop().now()) < -kWritesOwed * limits_.write_rps; }
+bool Store::writes_used_up() { return writes_.level(loop().now()) < -kWritesOwed * limits_.writes_per_s; }
 
-double Store::writes_to_spare() { return writes_.level(loop().now()) - kUrgentReserve * limits_.write_rps; }
+double Store::writes_to_spare() {
+  return writes_.level(loop().now()) - kUrgentReserve * limits_.writes_per_s;
+}
 
 void Store::start() {
   list("");
@@ -97,10 +99,10 @@
 void Store::finish_list() {
   // What was known and is no longer listed was deleted meanwhile.
   std::vector<Change> changes;
-  for (const auto& [key, stamp] : known_)
-    if (!listing_.contains(key) && stamp.value <= listing_epoch_.value)
-      changes.push_back({key, std::nullopt, wire::Stamp{listing_epoch_.value + 1}});
-  for (auto& [key, entry] : listing_) changes.push_back({key, std::move(entry.data), entry.stamp});
+  for (const auto& [key, revision] : known_)
+    if (!listing_.contains(key) && revision.value <= listing_epoch_.value)
+      changes.push_back({key, std::nullopt, wire::KeyRevision{listing_epoch_.value + 1}});
+  for (auto& [key, entry] : listing_) changes.push_back({key, std::move(entry.data), entry.revision});
   listing_.clear();
   epoch_ = listing_epoch_;
   publish(std::move(changes));
@@ -126,9 +128,9 @@
 // Whether the change is newer than what is known of its key, which it becomes.
 bool Store::take_revision(const Change& change) {
   const auto found = known_.find(change.key);
-  if (found != known_.end() && found->second >= change.stamp) return false;
+  if (found != known_.end() && found->second >= change.revision) return false;
   if (change.data) {
-    known_[change.key] = change.stamp;
+    known_[change.key] = change.revision;
     return true;
   }
   if (found == known_.end()) return false;
@@ -175,12 +177,12 @@
 }
 
 void Store::heartbeat() {
-  // An open watch does not show an outage: ask now and then, so that health and siblings know.
-  if (loop().now() - last_news_ >= kHeartbeatS * 0.9 && synced_) tell(Sync{[](bool) {}, false});
+  // An open watch does not show an outage: ask now and then, so that health and peers know.
+  if (loop().now() - last_news_ >= kHeartbeatS * 0.9 && synced_) tell(ReadBarrier{[](bool) {}, false});
   heartbeat_timer_ = loop().after(kHeartbeatS * loop().uniform(0.9, 1.1), [this] { heartbeat(); });
 }
 
-void Store::on(Sync& message) {
+void Store::on(ReadBarrier& message) {
   if (!synced_) return message.done(false);
   waiting_.push_back({std::move(message.done), loop().now() + kInsistS});
   waiting_urgent_ = waiting_urgent_ || message.urgent;
@@ -225,10 +227,10 @@
   run_barrier();
 }
 
-void Store::set_aside(const std::string& key, wire::Stamp stamp, const char* why) {
+void Store::set_aside(const std::string& key, wire::KeyRevision revision, const char* why) {
   auto& told = set_aside_[key];
-  if (told >= stamp) return;
-  told = stamp;
+  if (told >= revision) return;
+  told = revision;
   log_->error("state: {} cannot be read ({}): it is set aside, all else goes on", key, why);
 }
 
@@ -245,8 +247,8 @@
   send(protocol::commit_request(message.transaction), kAnswerS,
        [this, done = std::move(message.done), keys = std::move(keys)](const Response& response) {
          const auto result = protocol::parse_commit(response);
-         if (result.outcome == Outcome::malformed) warn_of_malformed(keys, response.body);
-         if (result.outcome != Outcome::done) forget_writes(keys, result.outcome);
+         if (result.outcome == Outcome::invalid) warn_of_malformed(keys, response.body);
+         if (result.outcome != Outcome::committed) forget_writes(keys, result.outcome);
          done(result);
        });
 }
@@ -259,12 +261,12 @@
 // No change of ours will be seen, or only as another's.
 void Store::forget_writes(const std::vector<std::string>& keys, Outcome outcome) {
   // Not written, so not to be counted against what may be.
-  if (outcome == Outcome::limited) writes_.spend(loop().now(), -static_cast<double>(keys.size()));
+  if (outcome == Outcome::rate_limited) writes_.spend(loop().now(), -static_cast<double>(keys.size()));
   for (const auto& key : keys)
     if (const auto own = own_.find(key); own != own_.end()) own_.erase(own);
 }
 
-void Store::on(Fetch& message) {
+void Store::on(FetchKey& message) {
   auto& waiting = fetching_[message.key];
   waiting.push_back(std::move(message.done));
   if (waiting.size() > 1) return;
@@ -303,22 +305,22 @@
   for (const auto& done : waiting.mapped()) done(answer);
 }
 
-void Store::on(OpenLease& message) {
+void Store::on(GrantLease& message) {
   send(protocol::open_lease_request(message.ttl_s), kAnswerS,
        [done = std::move(message.done)](const Response& response) {
          done(protocol::parse_open_lease(response));
        });
 }
 
-void Store::on(TouchLease& message) {
-  send(protocol::renew_lease_request(message.hold), message.timeout_s,
+void Store::on(RenewLease& message) {
+  send(protocol::renew_lease_request(message.lease_id), message.timeout_s,
        [done = std::move(message.done)](const Response& response) {
          done(protocol::parse_renew_lease(response));
        });
 }
 
-void Store::on(EndLease& message) {
-  send(protocol::end_lease_request(message.hold), kAnswerS, [](const Response&) {});
+void Store::on(RevokeLease& message) {
+  send(protocol::end_lease_request(message.lease_id), kAnswerS, [](const Response&) {});
 }
 
 }  // namespace bankhill::state
--- a/src/state/store.hpp
+++ b/src/state/store.hpp
@@ -19,15 +19,15 @@
 #include "runtime/actor.hpp"
 #include "runtime/log.hpp"
 #include "state/state_protocol.hpp"
+#include "state/store_cache.hpp"
 #include "state/transaction.hpp"
-#include "state/view.hpp"
 
 namespace bankhill::state {
 
 // Of the state service, as it announces them.
 struct Limits {
-  double rps = 100;             // requests a second
-  double write_rps = 50;        // puts a second
+  double requests_per_s = 100;  // requests a second
+  double writes_per_s = 50;     // puts a second
   double value_kb = 8;          // of one value
   std::size_t txn_ops = 16;     // writes of one transaction
   std::size_t controllers = 3;  // that share these limits
@@ -47,33 +47,34 @@
   bool urgent = true;
 };
 // Read barrier: done(true) once every change committed before this message has been published.
-struct Sync {
+struct ReadBarrier {
   std::function<void(bool)> done;
   bool urgent = false;  // sent at once, whatever the barriers have used of the limits
 };
 // Reads one key from the service itself; several requests for one key at a time are one.
-struct Fetch {
+struct FetchKey {
   std::string key;
   std::function<void(const KeyAnswer&)> done;
 };
 // Opens a lease.
-struct OpenLease {
+struct GrantLease {
   double ttl_s = 0;
-  std::function<void(std::optional<std::uint64_t> hold)> done;  // nothing: none, or it cannot be told
+  std::function<void(std::optional<std::uint64_t> lease_id)> done;  // nothing: none, or it cannot be told
 };
 // Renews a lease.
-struct TouchLease {
-  std::uint64_t hold = 0;
+struct RenewLease {
+  std::uint64_t lease_id = 0;
   double timeout_s = 0;
   std::function<void(LeaseRenewal)> done;
 };
 // Ends a lease; nobody waits for the answer.
-struct EndLease {
-  std::uint64_t hold = 0;
+struct RevokeLease {
+  std::uint64_t lease_id = 0;
 };
 
 // The actor that speaks to the state service for all others of a controller.
-class Store : public runtime::Actor<Store, Commit, Sync, Fetch, OpenLease, TouchLease, EndLease> {
+class Store
+    : public runtime::Actor<Store, Commit, ReadBarrier, FetchKey, GrantLease, RenewLease, RevokeLease> {
  public:
   Store(runtime::Loop& loop, net::Client& client, runtime::Log log, std::string address, Limits limits);
 
@@ -92,11 +93,12 @@
   // Takes in a record that a controller stored. One that cannot be read ends nobody: it is set aside under
   // its name, told once in the log, and its reader goes on with the others.
   template <class Parse>
-  std::optional<std::invoke_result_t<Parse>> parsed(const std::string& key, wire::Stamp stamp, Parse parse) {
+  std::optional<std::invoke_result_t<Parse>> parsed(const std::string& key, wire::KeyRevision revision,
+                                                    Parse parse) {
     try {
       return parse();
     } catch (const std::exception& error) {
-      set_aside(key, stamp, error.what());
+      set_aside(key, revision, error.what());
       return std::nullopt;
     }
   }
@@ -109,11 +111,11 @@
   bool writes_used_up();
 
   void on(Commit& message);
-  void on(Sync& message);
-  void on(Fetch& message);
-  void on(OpenLease& message);
-  void on(TouchLease& message);
-  void on(EndLease& message);
+  void on(ReadBarrier& message);
+  void on(FetchKey& message);
+  void on(GrantLease& message);
+  void on(RenewLease& message);
+  void on(RevokeLease& message);
 
  private:
   struct Waiting {  // for a barrier
@@ -133,7 +135,7 @@
   void publish(std::vector<Change> changes);
   bool take_revision(const Change& change);
   void count_write(const std::string& key);
-  void set_aside(const std::string& key, wire::Stamp stamp, const char* why);
+  void set_aside(const std::string& key, wire::KeyRevision revision, const char* why);
 
   void watch();
   void heartbeat();
@@ -157,19 +159,19 @@
   net::RateLimit writes_;
   std::vector<std::function<void(Changes)>> subscribers_;
 
-  std::map<std::string, wire::Stamp> known_;
+  std::map<std::string, wire::KeyRevision> known_;
   std::multiset<std::string> own_;        // keys written from here whose change is still to be seen
   std::map<std::string, Entry> listing_;  // pages of a list under way
-  wire::Epoch listing_epoch_;
-  wire::Epoch epoch_;
+  wire::StoreRevision listing_epoch_;
+  wire::StoreRevision epoch_;
   bool synced_ = false;
   bool relist_ = false;
   double last_news_ = -1e9;
 
-  std::map<std::string, wire::Stamp> set_aside_;  // records that cannot be read, told in the log
+  std::map<std::string, wire::KeyRevision> set_aside_;  // records that cannot be read, told in the log
 
   net::RateLimit fetches_;
-  std::map<std::string, std::vector<decltype(Fetch::done)>> fetching_;
+  std::map<std::string, std::vector<decltype(FetchKey::done)>> fetching_;
   std::deque<std::pair<std::string, double>> to_fetch_;  // with when it is given up
   runtime::Timer fetch_timer_;
 
--- a/src/state/view.hpp
+++ b/src/state/store_cache.hpp
@@ -1,4 +1,4 @@
-// A copy of part of the store, kept by applying changes in any order that respects stamps.
+// A copy of part of the store, kept by applying changes in any order that respects revisions.
 #pragma once
 
 #include <map>
@@ -16,7 +16,7 @@
 struct Change {
   std::string key;
   std::optional<wire::Json> data;  // empty: deleted
-  wire::Stamp stamp;
+  wire::KeyRevision revision;
 };
 
 // In the order in which they were committed.
@@ -25,17 +25,17 @@
 // What a key holds.
 struct Entry {
   wire::Json data;
-  wire::Stamp stamp;
+  wire::KeyRevision revision;
 };
 
 // The keys and their values as of the changes that were applied.
-class View {
+class StoreCache {
  public:
   // False when the change is older than what is known.
   bool apply(const Change& change);
   // Null: the key does not exist.
   const Entry* find(const std::string& key) const;
-  wire::Stamp stamp(const std::string& key) const;  // 0: the key does not exist
+  wire::KeyRevision revision(const std::string& key) const;  // 0: the key does not exist
   // All, by key.
   const std::map<std::string, Entry>& entries() const { return entries_; }
 
--- a/src/state/write_coalescer.cpp
+++ b/src/state/write_coalescer.cpp
@@ -104,7 +104,7 @@
 Transaction WriteCoalescer::take_batch(double now, std::size_t most_writes, Batch& batch) {
   Transaction transaction;
   // Invariant 1: once a newer term is won, this transaction fails however late it arrives.
-  transaction.when.push_back({wire::kTermKey, owner_.expected_revision(wire::kTermKey)});
+  transaction.conditions.push_back({wire::kTermKey, owner_.expected_revision(wire::kTermKey)});
   std::size_t bytes = 0;
   while (!due_.empty() && due_.begin()->first <= now && batch.size() < most_writes) {
     const std::string key = due_.begin()->second;
@@ -123,7 +123,7 @@
       continue;
     }
     const auto revision = owner_.expected_revision(key);
-    transaction.when.push_back({key, revision});
+    transaction.conditions.push_back({key, revision});
     // A key that does not exist needs no deletion, but its condition must still hold.
     if (write.data || revision.value != 0) transaction.writes.push_back({key, write.data, std::nullopt});
     due_.erase({write.due_at, key});
@@ -152,8 +152,8 @@
 }
 
 void WriteCoalescer::handle_result(const CommitResult& result, const BatchPtr& batch) {
-  if (result.outcome == Outcome::done) return handle_committed(std::move(*batch), result.epoch);
-  if (result.outcome == Outcome::malformed) return handle_malformed(std::move(*batch));
+  if (result.outcome == Outcome::committed) return handle_committed(std::move(*batch), result.revision);
+  if (result.outcome == Outcome::invalid) return handle_malformed(std::move(*batch));
   // Unless it was done, look what the keys hold now and try again.
   auto resolve = [this, generation = generation_, batch](bool synced) {
     if (generation == generation_) resolve_unknown_outcome(std::move(*batch), synced);
@@ -162,14 +162,14 @@
   auto on_synced = [this, resolve = std::move(resolve)](bool synced) {
     loop_.post(lifetime_.guard([resolve, synced] { resolve(synced); }));
   };
-  service_.sync(Sync{lifetime_.guard(std::move(on_synced)), true});
+  service_.sync(ReadBarrier{lifetime_.guard(std::move(on_synced)), true});
 }
 
-void WriteCoalescer::handle_committed(Batch batch, wire::Epoch revision) {
+void WriteCoalescer::handle_committed(Batch batch, wire::StoreRevision revision) {
   committing_ = false;
   if (++commits_since_refusal_ >= kCalmCommits) batch_limit_ = settings_.transaction_writes;
   for (auto& [key, write] : batch)
-    owner_.apply_committed(Change{key, std::move(write.data), wire::Stamp{revision.value}});
+    owner_.apply_committed(Change{key, std::move(write.data), wire::KeyRevision{revision.value}});
   for (const auto& [key, write] : batch)
     for (const auto& callback : write.callbacks) callback();
   owner_.after_commit();
--- a/src/state/write_coalescer.hpp
+++ b/src/state/write_coalescer.hpp
@@ -17,7 +17,7 @@
 #include "runtime/lifetime.hpp"
 #include "runtime/loop.hpp"
 #include "state/store.hpp"
-#include "state/view.hpp"
+#include "state/store_cache.hpp"
 
 namespace bankhill::state {
 
@@ -55,7 +55,7 @@
   virtual bool may_write() const = 0;
   // The revision that the key must still have for a write of it to succeed; 0: it must not exist. That of the
   // term key is the fencing token.
-  virtual wire::Stamp expected_revision(const std::string& key) const = 0;
+  virtual wire::KeyRevision expected_revision(const std::string& key) const = 0;
   // Whether nothing may be written to the key any more, because what it records is final.
   virtual bool is_final(const std::string& key) const = 0;
   // Whether the key holds this value by all that is known now, and that says that it was written.
@@ -82,7 +82,7 @@
   // The operations of the state service that the coalescer uses (state/store.hpp).
   struct Service {
     std::function<void(Commit)> commit;
-    std::function<void(Sync)> sync;
+    std::function<void(ReadBarrier)> sync;
     std::function<double()> writes_to_spare;
   };
 
@@ -116,7 +116,7 @@
   void drop_final(const std::string& key);
   void send(Transaction transaction, BatchPtr batch, bool urgent);
   void handle_result(const CommitResult& result, const BatchPtr& batch);
-  void handle_committed(Batch batch, wire::Epoch revision);
+  void handle_committed(Batch batch, wire::StoreRevision revision);
   void handle_malformed(Batch batch);
   double shrink_limits(const Batch& batch);
   void resolve_unknown_outcome(Batch batch, bool cache_is_current);
--- a/src/storage/completion_bitmaps.cpp
+++ b/src/storage/completion_bitmaps.cpp
@@ -8,54 +8,54 @@
 
 namespace {
 std::size_t bytes_of(const model::Job& job, std::uint32_t chunk) {
-  return wire::chunk_bytes(job.spec.members, chunk);
+  return wire::chunk_bytes(job.spec.task_count, chunk);
 }
 }  // namespace
 
 std::optional<std::uint64_t> CompletionBitmaps::number_of(const std::string& key) {
-  if (!key.starts_with(wire::kFinished)) return std::nullopt;
-  const auto name = key.substr(wire::kFinished.size());
+  if (!key.starts_with(wire::kCompletionKeyPrefix)) return std::nullopt;
+  const auto name = key.substr(wire::kCompletionKeyPrefix.size());
   if (name.find('/') != std::string::npos) return std::nullopt;  // of version 0.1: only ever deleted
   return std::stoull(name);
 }
 
 bool CompletionBitmaps::is_dropped(const std::string& key) const {
-  if (!key.starts_with(wire::kFinished)) return false;
+  if (!key.starts_with(wire::kCompletionKeyPrefix)) return false;
   // Not number_of: a key that another program wrote need not be a number.
-  const auto number = std::strtoull(key.substr(wire::kFinished.size()).c_str(), nullptr, 10);
-  return RecordNumbers::term_of(number) == numbers_.term() && key == wire::finished_key(number) &&
+  const auto number = std::strtoull(key.substr(wire::kCompletionKeyPrefix.size()).c_str(), nullptr, 10);
+  return RecordNumbers::term_of(number) == numbers_.term() && key == wire::completion_key(number) &&
          !contains(number);
 }
 
 std::uint64_t CompletionBitmaps::record_of(model::Job& job, std::uint32_t chunk) {
-  const auto known = job.buckets.find(chunk);
-  if (known != job.buckets.end()) return known->second;
-  const auto number = add({}, {job.spec.uid, chunk}, bytes_of(job, chunk));
-  job.buckets.emplace(chunk, number);
+  const auto known = job.completion_buckets.find(chunk);
+  if (known != job.completion_buckets.end()) return known->second;
+  const auto number = add({}, {job.spec.id, chunk}, bytes_of(job, chunk));
+  job.completion_buckets.emplace(chunk, number);
   return number;
 }
 
 void CompletionBitmaps::adopt(std::uint64_t number, model::Job& job, std::uint32_t chunk) {
-  hold(make(number), {job.spec.uid, chunk}, bytes_of(job, chunk));
-  job.buckets[chunk] = number;
+  hold(make(number), {job.spec.id, chunk}, bytes_of(job, chunk));
+  job.completion_buckets[chunk] = number;
 }
 
 void CompletionBitmaps::remove(model::Job& job) {
-  for (const auto& [chunk, number] : job.buckets) {
+  for (const auto& [chunk, number] : job.completion_buckets) {
     auto& record = make(number);
-    SharedRecords::remove(record, {job.spec.uid, chunk}, bytes_of(job, chunk));
+    SharedRecords::remove(record, {job.spec.id, chunk}, bytes_of(job, chunk));
     if (record.moving) continue;
     if (record.bytes < record_limit() / 2) open(number, record);
     if (drop_if_empty(number)) store(number, state::FlushDelay::garbage);
   }
-  job.buckets.clear();
+  job.completion_buckets.clear();
 }
 
 std::optional<wire::Json> CompletionBitmaps::render(const Record& record) const {
-  wire::FinishedBucket stored;
+  wire::CompletionBucket stored;
   for (const auto& id : record.items)
     if (const auto* job = find_live_job_(id.job))
-      stored.emplace(id, wire::finished_hex(job->marks, id.chunk, model::kDone));
+      stored.emplace(id, wire::completion_hex(job->marks, id.chunk, model::kDone));
   if (stored.empty()) return std::nullopt;
   return to_json(stored);
 }
@@ -69,8 +69,8 @@
 std::optional<std::uint64_t> CompletionBitmaps::relocate(const wire::ChunkId& id, const std::uint64_t& from) {
   auto* job = find_live_job_(id.job);
   if (job == nullptr) return std::nullopt;
-  const auto home = job->buckets.find(id.chunk);
-  if (home == job->buckets.end() || home->second != from) return std::nullopt;
+  const auto home = job->completion_buckets.find(id.chunk);
+  if (home == job->completion_buckets.end() || home->second != from) return std::nullopt;
   home->second = add({}, id, bytes_of(*job, id.chunk));
   return home->second;
 }
--- a/src/storage/completion_bitmaps.hpp
+++ b/src/storage/completion_bitmaps.hpp
@@ -40,7 +40,7 @@
   void remove(model::Job& job);
 
  private:
-  std::string key(const std::uint64_t& number) const override { return wire::finished_key(number); }
+  std::string key(const std::uint64_t& number) const override { return wire::completion_key(number); }
   std::uint64_t new_name() override { return numbers_.next(); }
   std::optional<wire::Json> render(const Record& record) const override;
   std::optional<std::size_t> item_bytes(const wire::ChunkId& id) const override;
--- a/src/storage/machine_groups.cpp
+++ b/src/storage/machine_groups.cpp
@@ -5,14 +5,12 @@
 namespace bankhill::storage {
 
 namespace {
-std::size_t bytes_of(const model::Machine& machine) {
-  return wire::group_bytes(machine.host, machine.address);
-}
+std::size_t bytes_of(const model::Machine& machine) { return wire::group_bytes(machine.id, machine.address); }
 }  // namespace
 
 std::optional<std::string> MachineGroups::name_of(const std::string& key) {
-  if (!key.starts_with(wire::kMachines)) return std::nullopt;
-  return key.substr(wire::kMachines.size());
+  if (!key.starts_with(wire::kMachineKeyPrefix)) return std::nullopt;
+  return key.substr(wire::kMachineKeyPrefix.size());
 }
 
 bool MachineGroups::is_dropped(const std::string& key) const {
@@ -25,8 +23,8 @@
 }
 
 void MachineGroups::put_into_group(model::Machine& machine) {
-  const model::Pool pool{machine.flavor, machine.rack_room, machine.reclaimable};
-  machine.group = SharedRecords::add(pool, machine.host, bytes_of(machine));
+  const model::Pool pool{machine.machine_type, machine.zone, machine.preemptible};
+  machine.group = SharedRecords::add(pool, machine.id, bytes_of(machine));
 }
 
 void MachineGroups::add(model::Machine& machine, state::WriteCallback callback) {
@@ -39,7 +37,7 @@
   const std::string name = machine.group;
   auto* group = find(name);
   if (group == nullptr) return;
-  SharedRecords::remove(*group, machine.host, bytes_of(machine));
+  SharedRecords::remove(*group, machine.id, bytes_of(machine));
   if (!group->fixed && !group->moving && group->bytes < record_limit()) open(name, *group);
   store(name, state::FlushDelay::removal);
   if (!group->moving) drop_if_empty(name);
@@ -53,24 +51,25 @@
 
 void MachineGroups::adopt_machine(const std::string& name, model::Machine& machine) {
   machine.group = name;
-  hold(make(name), machine.host, bytes_of(machine));
+  hold(make(name), machine.id, bytes_of(machine));
 }
 
 std::optional<wire::Json> MachineGroups::render(const Record& record) const {
-  wire::MachineGroupRecord stored{record.pool.flavor, record.pool.rack_room, record.pool.reclaimable, {}};
+  wire::MachineGroupRecord stored{record.pool.machine_type, record.pool.zone, record.pool.preemptible, {}};
   for (const auto& machine_id : record.items)
-    if (const auto* machine = fleet_.peek(machine_id)) stored.hosts.emplace(machine_id, machine->address);
-  if (stored.hosts.empty()) return std::nullopt;
+    if (const auto* machine = fleet_.peek(machine_id)) stored.machines.emplace(machine_id, machine->address);
+  if (stored.machines.empty()) return std::nullopt;
   return to_json(stored);
 }
 
-std::optional<std::size_t> MachineGroups::item_bytes(const wire::HostId& machine_id) const {
+std::optional<std::size_t> MachineGroups::item_bytes(const wire::MachineId& machine_id) const {
   const auto* machine = fleet_.peek(machine_id);
   if (machine == nullptr) return std::nullopt;
   return bytes_of(*machine);
 }
 
-std::optional<std::string> MachineGroups::relocate(const wire::HostId& machine_id, const std::string& from) {
+std::optional<std::string> MachineGroups::relocate(const wire::MachineId& machine_id,
+                                                   const std::string& from) {
   auto* machine = fleet_.find(machine_id);
   if (machine == nullptr || machine->group != from) return std::nullopt;
   put_into_group(*machine);
--- a/src/storage/machine_groups.hpp
+++ b/src/storage/machine_groups.hpp
@@ -10,7 +10,7 @@
 
 namespace bankhill::storage {
 
-class MachineGroups final : private SharedRecords<std::string, model::Pool, wire::HostId> {
+class MachineGroups final : private SharedRecords<std::string, model::Pool, wire::MachineId> {
  public:
   MachineGroups(state::WriteCoalescer& writes, model::Fleet& fleet, RecordNumbers& numbers, runtime::Log log)
       : SharedRecords(writes, std::move(log)), fleet_(fleet), numbers_(numbers) {}
@@ -34,11 +34,11 @@
   void adopt_machine(const std::string& name, model::Machine& machine);
 
  private:
-  std::string key(const std::string& name) const override { return wire::machines_key(name); }
+  std::string key(const std::string& name) const override { return wire::machine_group_key(name); }
   std::string new_name() override;
   std::optional<wire::Json> render(const Record& record) const override;
-  std::optional<std::size_t> item_bytes(const wire::HostId& machine_id) const override;
-  std::optional<std::string> relocate(const wire::HostId& machine_id, const std::string& from) override;
+  std::optional<std::size_t> item_bytes(const wire::MachineId& machine_id) const override;
+  std::optional<std::string> relocate(const wire::MachineId& machine_id, const std::string& from) override;
   void put_into_group(model::Machine& machine);
 
   model::Fleet& fleet_;
--- a/src/wire/frames.cpp
+++ b/src/wire/frames.cpp
@@ -50,62 +50,70 @@
   void operator()(const Hello& hello) {
     add(HelloBody{hello.incarnation, static_cast<std::uint16_t>(hello.node.size())}, hello.node);
   }
-  void operator()(const Beat& beat) {
+  void operator()(const PeerStatus& beat) {
     const auto state = beat.state_ok ? 1U | static_cast<unsigned>(beat.features) << 1U : 0U;
-    add(BeatBody{beat.term, static_cast<std::uint8_t>(state), static_cast<std::uint8_t>(beat.leading)});
+    add(PeerStatusBody{beat.term, static_cast<std::uint8_t>(state), static_cast<std::uint8_t>(beat.leading)});
   }
-  void operator()(const Call& call) {
-    add(CallBody{call.id, static_cast<std::uint8_t>(call.post), static_cast<std::uint16_t>(call.path.size()),
-                 static_cast<std::uint32_t>(call.body.size())},
+  void operator()(const RelayedRequest& call) {
+    add(RelayedRequestBody{call.id, static_cast<std::uint8_t>(call.post),
+                           static_cast<std::uint16_t>(call.path.size()),
+                           static_cast<std::uint32_t>(call.body.size())},
         call.path, call.body);
   }
-  void operator()(const Answer& answer) {
-    add(AnswerBody{answer.id, answer.status, answer.retry_after_ms,
-                   static_cast<std::uint32_t>(answer.body.size())},
+  void operator()(const RelayedResponse& answer) {
+    add(RelayedResponseBody{answer.id, answer.status, answer.retry_after_ms,
+                            static_cast<std::uint32_t>(answer.body.size())},
         answer.body);
   }
-  void operator()(const Progress& progress) {
-    add(ProgressBody{progress.done, progress.running, static_cast<std::uint16_t>(progress.job.size()),
-                     static_cast<std::uint16_t>(progress.reason.size())},
+  void operator()(const JobProgress& progress) {
+    add(JobProgressBody{progress.done, progress.running, static_cast<std::uint16_t>(progress.job.size()),
+                        static_cast<std::uint16_t>(progress.reason.size())},
         progress.job, progress.reason);
   }
-  void operator()(const Load& load) {
-    add(LoadBody{load.workers, load.capacity, static_cast<std::uint16_t>(load.zone.size())}, load.zone);
+  void operator()(const ControllerLoad& load) {
+    add(ControllerLoadBody{load.workers, load.capacity, static_cast<std::uint16_t>(load.zone.size())},
+        load.zone);
   }
-  void operator()(const Reports& reports) {
-    add(BundleBody{static_cast<std::uint16_t>(reports.items.size())});
-    for (const auto& item : reports.items) {
-      const auto& report = item.report;
-      add(ReportBody{item.id, item.base, report.tenure.value, report.counter, report.fence.value,
-                     static_cast<std::uint16_t>(report.host.value.size())},
-          report.host.value);
-      if (item.base == 0) add_rest(report);
+  void operator()(const ForwardedHeartbeats& heartbeats) {
+    add(BatchBody{static_cast<std::uint16_t>(heartbeats.items.size())});
+    for (const auto& item : heartbeats.items) {
+      const auto& heartbeat = item.heartbeat;
+      add(HeartbeatBody{item.id, item.base_sequence, heartbeat.agent_epoch.value, heartbeat.sequence,
+                        heartbeat.fencing_token.value,
+                        static_cast<std::uint16_t>(heartbeat.machine_id.value.size())},
+          heartbeat.machine_id.value);
+      if (item.base_sequence == 0) add_rest(heartbeat);
     }
   }
-  void add_rest(const Report& report) {
-    add(FullReportBody{static_cast<std::uint8_t>(report.reclaimable),
-                       report.warning_s ? millis(*report.warning_s) : kNoWarning,
-                       static_cast<std::uint16_t>(report.address.size()),
-                       static_cast<std::uint16_t>(report.flavor.size()),
-                       static_cast<std::uint16_t>(report.rack_room.size()),
-                       static_cast<std::uint32_t>(report.members.size())},
-        report.address, report.flavor);
-    payload.append(report.rack_room);
-    for (const auto& member : report.members)
-      add(MemberBody{member.member.index, member.try_no.value, static_cast<std::uint8_t>(member.phase),
-                     static_cast<std::uint8_t>(member.cause), static_cast<std::uint8_t>(member.kept),
-                     static_cast<std::uint16_t>(member.member.job.value.size())},
-          member.member.job.value);
+  void add_rest(const Heartbeat& heartbeat) {
+    add(FullHeartbeatBody{static_cast<std::uint8_t>(heartbeat.preemptible),
+                          heartbeat.preemption_notice_s ? millis(*heartbeat.preemption_notice_s)
+                                                        : kNoPreemptionNotice,
+                          static_cast<std::uint16_t>(heartbeat.address.size()),
+                          static_cast<std::uint16_t>(heartbeat.machine_type.size()),
+                          static_cast<std::uint16_t>(heartbeat.zone.size()),
+                          static_cast<std::uint32_t>(heartbeat.tasks.size())},
+        heartbeat.address, heartbeat.machine_type);
+    payload.append(heartbeat.zone);
+    for (const auto& task_status : heartbeat.tasks)
+      add(TaskStatusBody{task_status.task.index, task_status.attempt.value,
+                         static_cast<std::uint8_t>(task_status.state),
+                         static_cast<std::uint8_t>(task_status.exit_reason),
+                         static_cast<std::uint8_t>(task_status.checkpoint_saved),
+                         static_cast<std::uint16_t>(task_status.task.job.value.size())},
+          task_status.task.job.value);
   }
-  void operator()(const Rulings& rulings) {
-    add(BundleBody{static_cast<std::uint16_t>(rulings.items.size())});
-    for (const auto& ruling : rulings.items) {
-      add(RulingBody{ruling.id, static_cast<std::uint8_t>(ruling.verdict), ruling.fence.value,
-                     static_cast<std::uint16_t>(ruling.orders.size())});
-      for (const auto& order : ruling.orders)
-        add(OrderBody{static_cast<std::uint8_t>(order.verb), order.member.index, order.try_no.value,
-                      millis(order.wind_down_s), static_cast<std::uint16_t>(order.member.job.value.size())},
-            order.member.job.value);
+  void operator()(const HeartbeatResponses& responses) {
+    add(BatchBody{static_cast<std::uint16_t>(responses.items.size())});
+    for (const auto& response : responses.items) {
+      add(HeartbeatResponseBody{response.id, static_cast<std::uint8_t>(response.result),
+                                response.fencing_token.value,
+                                static_cast<std::uint16_t>(response.commands.size())});
+      for (const auto& command : response.commands)
+        add(CommandBody{static_cast<std::uint8_t>(command.type), command.task.index, command.attempt.value,
+                        millis(command.grace_period_s),
+                        static_cast<std::uint16_t>(command.task.job.value.size())},
+            command.task.job.value);
     }
   }
 };
@@ -118,78 +126,82 @@
 }
 
 // A job's name must have the documented form: what is read here is used without another check.
-bool read_member(Cursor& cursor, std::size_t job_length, std::uint32_t index, MemberId& member) {
+bool read_member(Cursor& cursor, std::size_t job_length, std::uint32_t index, TaskId& task_id) {
   std::string job;
   if (!cursor.read(job, job_length)) return false;
   const auto id = parse_job_id(job);
   if (!id) return false;
-  member = {*id, index};
+  task_id = {*id, index};
   return true;
 }
 
-bool read_rest(Cursor& cursor, Report& report) {
-  FullReportBody body;
-  if (!cursor.read(body) || !cursor.read(report.address, body.address_length) ||
-      !cursor.read(report.flavor, body.flavor_length) || !cursor.read(report.rack_room, body.zone_length))
+bool read_rest(Cursor& cursor, Heartbeat& heartbeat) {
+  FullHeartbeatBody body;
+  if (!cursor.read(body) || !cursor.read(heartbeat.address, body.address_length) ||
+      !cursor.read(heartbeat.machine_type, body.machine_type_length) ||
+      !cursor.read(heartbeat.zone, body.zone_length))
     return false;
-  report.reclaimable = body.reclaimable != 0;
-  if (body.warning_ms != kNoWarning) report.warning_s = body.warning_ms / 1000.0;
-  for (std::uint32_t i = 0; i < body.members; ++i) {
-    MemberBody item;
-    MemberReport member;
-    if (!cursor.read(item) || !read_member(cursor, item.job_length, item.index, member.member) ||
-        !read_enum(item.phase, MemberPhase::exited, member.phase) ||
-        !read_enum(item.cause, ExitCause::no_such, member.cause))
+  heartbeat.preemptible = body.preemptible != 0;
+  if (body.preemption_notice_ms != kNoPreemptionNotice)
+    heartbeat.preemption_notice_s = body.preemption_notice_ms / 1000.0;
+  for (std::uint32_t i = 0; i < body.tasks; ++i) {
+    TaskStatusBody item;
+    TaskStatus task_status;
+    if (!cursor.read(item) || !read_member(cursor, item.job_length, item.index, task_status.task) ||
+        !read_enum(item.state, TaskState::exited, task_status.state) ||
+        !read_enum(item.exit_reason, ExitReason::unknown_task, task_status.exit_reason))
       return false;
-    member.try_no.value = item.try_no;
-    member.kept = item.kept != 0;
-    report.members.push_back(std::move(member));
+    task_status.attempt.value = item.attempt;
+    task_status.checkpoint_saved = item.checkpoint_saved != 0;
+    heartbeat.tasks.push_back(std::move(task_status));
   }
   return true;
 }
 
 std::optional<Frame> read_reports(Cursor& cursor) {
-  BundleBody bundle;
+  BatchBody bundle;
   if (!cursor.read(bundle)) return std::nullopt;
-  Reports reports;
+  ForwardedHeartbeats heartbeats;
   for (std::uint16_t i = 0; i < bundle.items; ++i) {
-    ReportBody body;
-    DelegatedReport item;
-    if (!cursor.read(body) || !cursor.read(item.report.host.value, body.host_length)) return std::nullopt;
+    HeartbeatBody body;
+    ForwardedHeartbeat item;
+    if (!cursor.read(body) || !cursor.read(item.heartbeat.machine_id.value, body.machine_id_length))
+      return std::nullopt;
     item.id = body.id;
-    item.base = body.base;
-    item.report.tenure.value = body.tenure;
-    item.report.counter = body.counter;
-    item.report.fence.value = body.fence;
-    if (item.base == 0 && !read_rest(cursor, item.report)) return std::nullopt;
-    reports.items.push_back(std::move(item));
+    item.base_sequence = body.base_sequence;
+    item.heartbeat.agent_epoch.value = body.agent_epoch;
+    item.heartbeat.sequence = body.sequence;
+    item.heartbeat.fencing_token.value = body.fencing_token;
+    if (item.base_sequence == 0 && !read_rest(cursor, item.heartbeat)) return std::nullopt;
+    heartbeats.items.push_back(std::move(item));
   }
-  return reports;
+  return heartbeats;
 }
 
 std::optional<Frame> read_rulings(Cursor& cursor) {
-  BundleBody bundle;
+  BatchBody bundle;
   if (!cursor.read(bundle)) return std::nullopt;
-  Rulings rulings;
+  HeartbeatResponses responses;
   for (std::uint16_t i = 0; i < bundle.items; ++i) {
-    RulingBody body;
-    Ruling ruling;
-    if (!cursor.read(body) || !read_enum(body.verdict, Verdict::in_full, ruling.verdict)) return std::nullopt;
-    ruling.id = body.id;
-    ruling.fence.value = body.fence;
-    for (std::uint16_t j = 0; j < body.orders; ++j) {
-      OrderBody item;
-      Order order;
-      if (!cursor.read(item) || !read_member(cursor, item.job_length, item.index, order.member) ||
-          !read_enum(item.verb, Verb::forget, order.verb))
+    HeartbeatResponseBody body;
+    HeartbeatResponse response;
+    if (!cursor.read(body) || !read_enum(body.status, HeartbeatResult::resend_in_full, response.result))
+      return std::nullopt;
+    response.id = body.id;
+    response.fencing_token.value = body.fencing_token;
+    for (std::uint16_t j = 0; j < body.commands; ++j) {
+      CommandBody item;
+      Command command;
+      if (!cursor.read(item) || !read_member(cursor, item.job_length, item.index, command.task) ||
+          !read_enum(item.type, CommandType::forget, command.type))
         return std::nullopt;
-      order.try_no.value = item.try_no;
-      order.wind_down_s = item.wind_down_ms / 1000.0;
-      ruling.orders.push_back(std::move(order));
+      command.attempt.value = item.attempt;
+      command.grace_period_s = item.grace_period_ms / 1000.0;
+      response.commands.push_back(std::move(command));
     }
-    rulings.items.push_back(std::move(ruling));
+    responses.items.push_back(std::move(response));
   }
-  return rulings;
+  return responses;
 }
 
 // The type in a frame's header: its place in the variant.
@@ -205,15 +217,15 @@
 }
 
 std::optional<Frame> read_beat(Cursor& cursor) {
-  BeatBody body;
+  PeerStatusBody body;
   if (!cursor.read(body)) return std::nullopt;
-  return Beat{body.term, body.state_ok != 0, body.leading != 0,
-              static_cast<std::uint8_t>(body.state_ok >> 1U)};
+  return PeerStatus{body.term, body.state_ok != 0, body.leading != 0,
+                    static_cast<std::uint8_t>(body.state_ok >> 1U)};
 }
 
 std::optional<Frame> read_call(Cursor& cursor) {
-  CallBody body;
-  Call call;
+  RelayedRequestBody body;
+  RelayedRequest call;
   if (!cursor.read(body) || !cursor.read(call.path, body.path_length) ||
       !cursor.read(call.body, body.body_length))
     return std::nullopt;
@@ -223,8 +235,8 @@
 }
 
 std::optional<Frame> read_answer(Cursor& cursor) {
-  AnswerBody body;
-  Answer answer;
+  RelayedResponseBody body;
+  RelayedResponse answer;
   if (!cursor.read(body) || !cursor.read(answer.body, body.body_length)) return std::nullopt;
   answer.id = body.id;
   answer.status = body.status;
@@ -233,8 +245,8 @@
 }
 
 std::optional<Frame> read_progress(Cursor& cursor) {
-  ProgressBody body;
-  Progress progress;
+  JobProgressBody body;
+  JobProgress progress;
   if (!cursor.read(body) || !cursor.read(progress.job, body.job_length) ||
       !cursor.read(progress.reason, body.reason_length))
     return std::nullopt;
@@ -244,8 +256,8 @@
 }
 
 std::optional<Frame> read_load(Cursor& cursor) {
-  LoadBody body;
-  Load load;
+  ControllerLoadBody body;
+  ControllerLoad load;
   if (!cursor.read(body) || !cursor.read(load.zone, body.zone_length)) return std::nullopt;
   load.workers = body.workers;
   load.capacity = body.capacity;
@@ -291,12 +303,12 @@
   return std::string(bytes_of(header)) + encoder.payload;
 }
 
-std::string fingerprint(const Report& report) {
+std::string fingerprint(const Heartbeat& heartbeat) {
   Encoder encoder;
-  encoder.add(ReportBody{0, 0, report.tenure.value, 0, report.fence.value,
-                         static_cast<std::uint16_t>(report.host.value.size())},
-              report.host.value);
-  encoder.add_rest(report);
+  encoder.add(HeartbeatBody{0, 0, heartbeat.agent_epoch.value, 0, heartbeat.fencing_token.value,
+                            static_cast<std::uint16_t>(heartbeat.machine_id.value.size())},
+              heartbeat.machine_id.value);
+  encoder.add_rest(heartbeat);
   return std::move(encoder.payload);
 }
 
--- a/src/wire/frames.hpp
+++ b/src/wire/frames.hpp
@@ -21,10 +21,10 @@
 
 // An unsigned number in network byte order without alignment: structs of these have no padding.
 template <class T>
-struct Big {
+struct BigEndian {
   std::array<std::uint8_t, sizeof(T)> bytes{};
-  Big() = default;
-  Big(T value) {  // NOLINT(google-explicit-constructor): reads as the number it holds
+  BigEndian() = default;
+  BigEndian(T value) {  // NOLINT(google-explicit-constructor): reads as the number it holds
     for (std::size_t i = sizeof(T); i-- > 0; value = static_cast<T>(value >> 8 * (sizeof(T) > 1)))
       bytes[i] = static_cast<std::uint8_t>(value & 0xFF);
   }
@@ -36,110 +36,111 @@
 };
 
 struct FrameHeader {
-  Big<std::uint16_t> magic;
-  Big<std::uint8_t> version;
-  Big<std::uint8_t> type;
-  Big<std::uint32_t> length;  // of what follows the header
+  BigEndian<std::uint16_t> magic;
+  BigEndian<std::uint8_t> version;
+  BigEndian<std::uint8_t> type;
+  BigEndian<std::uint32_t> length;  // of what follows the header
 };
 static_assert(sizeof(FrameHeader) == 8);
 
 struct HelloBody {
-  Big<std::uint64_t> incarnation;
-  Big<std::uint16_t> name_length;
+  BigEndian<std::uint64_t> incarnation;
+  BigEndian<std::uint16_t> name_length;
 };
 static_assert(sizeof(HelloBody) == 10);
 
-struct BeatBody {
-  Big<std::uint64_t> term;
-  Big<std::uint8_t> state_ok;  // not 0: reached; above the lowest bit stands what the sender understands
-  Big<std::uint8_t> leading;
+struct PeerStatusBody {
+  BigEndian<std::uint64_t> term;
+  BigEndian<std::uint8_t>
+      state_ok;  // not 0: reached; above the lowest bit stands what the sender understands
+  BigEndian<std::uint8_t> leading;
 };
-static_assert(sizeof(BeatBody) == 10);
+static_assert(sizeof(PeerStatusBody) == 10);
 
-struct CallBody {
-  Big<std::uint64_t> id;
-  Big<std::uint8_t> post;
-  Big<std::uint16_t> path_length;
-  Big<std::uint32_t> body_length;
+struct RelayedRequestBody {
+  BigEndian<std::uint64_t> id;
+  BigEndian<std::uint8_t> post;
+  BigEndian<std::uint16_t> path_length;
+  BigEndian<std::uint32_t> body_length;
 };
-static_assert(sizeof(CallBody) == 15);
+static_assert(sizeof(RelayedRequestBody) == 15);
 
-struct AnswerBody {
-  Big<std::uint64_t> id;
-  Big<std::uint16_t> status;
-  Big<std::uint32_t> retry_after_ms;
-  Big<std::uint32_t> body_length;
+struct RelayedResponseBody {
+  BigEndian<std::uint64_t> id;
+  BigEndian<std::uint16_t> status;
+  BigEndian<std::uint32_t> retry_after_ms;
+  BigEndian<std::uint32_t> body_length;
 };
-static_assert(sizeof(AnswerBody) == 18);
+static_assert(sizeof(RelayedResponseBody) == 18);
 
-struct ProgressBody {
-  Big<std::uint32_t> done;
-  Big<std::uint32_t> running;
-  Big<std::uint16_t> job_length;
-  Big<std::uint16_t> reason_length;
+struct JobProgressBody {
+  BigEndian<std::uint32_t> done;
+  BigEndian<std::uint32_t> running;
+  BigEndian<std::uint16_t> job_length;
+  BigEndian<std::uint16_t> reason_length;
 };
-static_assert(sizeof(ProgressBody) == 12);
+static_assert(sizeof(JobProgressBody) == 12);
 
-struct LoadBody {
-  Big<std::uint32_t> workers;
-  Big<std::uint32_t> capacity;
-  Big<std::uint16_t> zone_length;
+struct ControllerLoadBody {
+  BigEndian<std::uint32_t> workers;
+  BigEndian<std::uint32_t> capacity;
+  BigEndian<std::uint16_t> zone_length;
 };
-static_assert(sizeof(LoadBody) == 10);
+static_assert(sizeof(ControllerLoadBody) == 10);
 
-// Bundles begin with the number of their items.
-struct BundleBody {
-  Big<std::uint16_t> items;
+// Batches begin with the number of their items.
+struct BatchBody {
+  BigEndian<std::uint16_t> items;
 };
-static_assert(sizeof(BundleBody) == 2);
+static_assert(sizeof(BatchBody) == 2);
 
-struct ReportBody {  // of any report; a full one goes on with FullReportBody
-  Big<std::uint64_t> id;
-  Big<std::uint64_t> base;  // 0: in full
-  Big<std::uint64_t> tenure;
-  Big<std::uint64_t> counter;
-  Big<std::uint64_t> fence;
-  Big<std::uint16_t> host_length;
+struct HeartbeatBody {  // of any heartbeat; a full one goes on with FullReportBody
+  BigEndian<std::uint64_t> id;
+  BigEndian<std::uint64_t> base_sequence;  // 0: in full
+  BigEndian<std::uint64_t> agent_epoch;
+  BigEndian<std::uint64_t> sequence;
+  BigEndian<std::uint64_t> fencing_token;
+  BigEndian<std::uint16_t> machine_id_length;
 };
-static_assert(sizeof(ReportBody) == 42);
+static_assert(sizeof(HeartbeatBody) == 42);
 
-struct FullReportBody {
-  Big<std::uint8_t> reclaimable;
-  Big<std::uint32_t> warning_ms;  // kNoWarning: none
-  Big<std::uint16_t> address_length;
-  Big<std::uint16_t> flavor_length;
-  Big<std::uint16_t> zone_length;
-  Big<std::uint32_t> members;
+struct FullHeartbeatBody {
+  BigEndian<std::uint8_t> preemptible;
+  BigEndian<std::uint32_t> preemption_notice_ms;  // kNoWarning: none
+  BigEndian<std::uint16_t> address_length;
+  BigEndian<std::uint16_t> machine_type_length;
+  BigEndian<std::uint16_t> zone_length;
+  BigEndian<std::uint32_t> tasks;
 };
-static_assert(sizeof(FullReportBody) == 15);
-constexpr std::uint32_t kNoWarning = 0xFFFFFFFF;
+static_assert(sizeof(FullHeartbeatBody) == 15);
+constexpr std::uint32_t kNoPreemptionNotice = 0xFFFFFFFF;
 
-struct MemberBody {
-  Big<std::uint32_t> index;
-  Big<std::uint64_t> try_no;
-  Big<std::uint8_t> phase;
-  Big<std::uint8_t> cause;
-  Big<std::uint8_t> kept;
-  Big<std::uint16_t> job_length;
+struct TaskStatusBody {
+  BigEndian<std::uint32_t> index;
+  BigEndian<std::uint64_t> attempt;
+  BigEndian<std::uint8_t> state;
+  BigEndian<std::uint8_t> exit_reason;
+  BigEndian<std::uint8_t> checkpoint_saved;
+  BigEndian<std::uint16_t> job_length;
 };
-static_assert(sizeof(MemberBody) == 17);
+static_assert(sizeof(TaskStatusBody) == 17);
 
-struct RulingBody {
-  Big<std::uint64_t> id;
-  Big<std::uint8_t> verdict;
-  Big<std::uint64_t> fence;
-  Big<std::uint16_t> orders;
+struct HeartbeatResponseBody {
+  BigEndian<std::uint64_t> id;
+  BigEndian<std::uint8_t> status;
+  BigEndian<std::uint64_t> fencing_token;
+  BigEndian<std::uint16_t> commands;
 };
-static_assert(sizeof(RulingBody) == 19);
+static_assert(sizeof(HeartbeatResponseBody) == 19);
 
-struct OrderBody {
-  Big<std::uint8_t> verb;
-  Big<std::uint32_t> index;
-  Big<std::uint64_t> try_no;
-  Big<std::uint32_t> wind_down_ms;
-  Big<std::uint16_t> job_length;
+struct CommandBody {
+  BigEndian<std::uint8_t> type;
+  BigEndian<std::uint32_t> index;
+  BigEndian<std::uint64_t> attempt;
+  BigEndian<std::uint32_t> grace_period_ms;
+  BigEndian<std::uint16_t> job_length;
 };
-static_assert(sizeof(OrderBody) == 19);
+static_assert(sizeof(CommandBody) == 19);
 
 // The frames as values.
 struct Hello {
@@ -147,82 +148,84 @@
   std::string node;
   bool operator==(const Hello&) const = default;
 };
-struct Beat {
+struct PeerStatus {
   std::uint64_t term = 0;
   bool state_ok = false;
   bool leading = false;
   std::uint8_t features = 0;  // kFeature...; told only while state_ok is
-  bool operator==(const Beat&) const = default;
+  bool operator==(const PeerStatus&) const = default;
 };
-struct Call {  // an HTTP request relayed to a sibling
+struct RelayedRequest {  // an HTTP request relayed to a peer
   std::uint64_t id = 0;
   bool post = false;
   std::string path;
   std::string body;
-  bool operator==(const Call&) const = default;
+  bool operator==(const RelayedRequest&) const = default;
 };
-struct Answer {
+struct RelayedResponse {
   std::uint64_t id = 0;
   std::uint16_t status = 0;
   std::uint32_t retry_after_ms = 0;
   std::string body;
-  bool operator==(const Answer&) const = default;
+  bool operator==(const RelayedResponse&) const = default;
 };
-struct Progress {  // what the leader knows of a job's tasks, for display
+struct JobProgress {  // what the leader knows of a job's tasks, for display
   std::uint32_t done = 0;
   std::uint32_t running = 0;
   std::string job;
   std::string reason;
-  bool operator==(const Progress&) const = default;
+  bool operator==(const JobProgress&) const = default;
 };
 
-// Frames of the kinds below go only to siblings whose beats say that they understand them: 0.3.0 takes a
+// Frames of the kinds below go only to peers whose beats say that they understand them: 0.3.0 takes a
 // frame of an unknown kind for malformed and closes the connection.
-constexpr std::uint8_t kFeatureDelegation = 1;
+constexpr std::uint8_t kFeatureHeartbeatForwarding = 1;
 
-struct Load {  // how many workers report to a controller
+struct ControllerLoad {  // how many workers report to a controller
   std::uint32_t workers = 0;
   std::uint32_t capacity = 0;
   std::string zone;
-  bool operator==(const Load&) const = default;
+  bool operator==(const ControllerLoad&) const = default;
 };
 
-// A worker's report on its way from a delegate to the leader. With `base` not 0 it is brief: only host,
-// tenure, counter and fence are told, the rest is as in the report of that counter.
-struct DelegatedReport {
-  std::uint64_t id = 0;  // of the exchange; the ruling names it
-  std::uint64_t base = 0;
-  Report report;
-  bool operator==(const DelegatedReport&) const = default;
+// A worker's heartbeat on its way from a forwarding controller to the leader. With `base` not 0 it is brief:
+// only machine, agent epoch, counter and fencing token are told, the rest is as in the heartbeat of that
+// counter.
+struct ForwardedHeartbeat {
+  std::uint64_t id = 0;  // of the exchange; the response names it
+  std::uint64_t base_sequence = 0;
+  Heartbeat heartbeat;
+  bool operator==(const ForwardedHeartbeat&) const = default;
 };
-struct Reports {
-  std::vector<DelegatedReport> items;
-  bool operator==(const Reports&) const = default;
+struct ForwardedHeartbeats {
+  std::vector<ForwardedHeartbeat> items;
+  bool operator==(const ForwardedHeartbeats&) const = default;
 };
 
-// What the leader answers to a report.
-enum class Verdict : std::uint8_t {
-  granted,  // 200 with this fence and these orders
-  refused,  // no right to answer
-  in_full,  // a brief report that the leader cannot complete: to be sent once more, in full
+// What the leader answers to a heartbeat.
+enum class HeartbeatResult : std::uint8_t {
+  accepted,        // 200 with this fencing token and these orders
+  rejected,        // no right to answer
+  resend_in_full,  // a brief heartbeat that the leader cannot complete: to be sent once more, in full
 };
-struct Ruling {
+struct HeartbeatResponse {
   std::uint64_t id = 0;
-  Verdict verdict = Verdict::refused;
-  Fence fence;
-  std::vector<Order> orders;
-  bool operator==(const Ruling&) const = default;
+  HeartbeatResult result = HeartbeatResult::rejected;
+  FencingToken fencing_token;
+  std::vector<Command> commands;
+  bool operator==(const HeartbeatResponse&) const = default;
 };
-struct Rulings {
-  std::vector<Ruling> items;
-  bool operator==(const Rulings&) const = default;
+struct HeartbeatResponses {
+  std::vector<HeartbeatResponse> items;
+  bool operator==(const HeartbeatResponses&) const = default;
 };
 
-using Frame = std::variant<Hello, Beat, Call, Answer, Progress, Load, Reports, Rulings>;
+using Frame = std::variant<Hello, PeerStatus, RelayedRequest, RelayedResponse, JobProgress, ControllerLoad,
+                           ForwardedHeartbeats, HeartbeatResponses>;
 
 // The report as it goes into a frame, in full, but for its counter: two of a worker that are equal here tell
 // the same.
-std::string fingerprint(const Report& report);
+std::string fingerprint(const Heartbeat& heartbeat);
 
 std::string encode(const Frame& frame);
 
--- a/src/wire/ids.cpp
+++ b/src/wire/ids.cpp
@@ -20,7 +20,7 @@
   return JobId{std::string(text)};
 }
 
-std::optional<MemberId> parse_member_id(std::string_view text) {
+std::optional<TaskId> parse_task_id(std::string_view text) {
   const auto slash = text.find('/');
   if (slash == std::string_view::npos) return std::nullopt;
   auto job = parse_job_id(text.substr(0, slash));
@@ -29,7 +29,7 @@
   const auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), index);
   if (!job || !digits(number) || error != std::errc{} || end != number.data() + number.size())
     return std::nullopt;
-  return MemberId{std::move(*job), index};
+  return TaskId{std::move(*job), index};
 }
 
 }  // namespace bankhill::wire
--- a/src/wire/ids.hpp
+++ b/src/wire/ids.hpp
@@ -23,24 +23,24 @@
 };
 
 using JobId = Name<struct JobTag>;
-using HostId = Name<struct HostTag>;
-using Fence = Number<struct FenceTag>;    // term of a leader, shown to workers
-using Tenure = Number<struct TenureTag>;  // session of a worker
-using TryNo = Number<struct TryTag>;      // attempt of a task
-using Stamp = Number<struct StampTag>;    // revision of one key
-using Epoch = Number<struct EpochTag>;    // revision of the whole store
+using MachineId = Name<struct MachineTag>;
+using FencingToken = Number<struct FencingTokenTag>;    // term of a leader, shown to workers
+using AgentEpoch = Number<struct AgentEpochTag>;        // agent epoch of a worker
+using AttemptNumber = Number<struct AttemptTag>;        // attempt of a task
+using KeyRevision = Number<struct KeyRevisionTag>;      // revision of one key
+using StoreRevision = Number<struct StoreRevisionTag>;  // revision of the whole store
 
 // Returns the id when `text` has the documented form ("job-" and digits).
 std::optional<JobId> parse_job_id(std::string_view text);
 
-struct MemberId {
+struct TaskId {
   JobId job;
   std::uint32_t index = 0;
-  auto operator<=>(const MemberId&) const = default;
+  auto operator<=>(const TaskId&) const = default;
   std::string text() const { return job.value + "/" + std::to_string(index); }
 };
 
-std::optional<MemberId> parse_member_id(std::string_view text);
+std::optional<TaskId> parse_task_id(std::string_view text);
 
 }  // namespace bankhill::wire
 
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -21,23 +21,24 @@
 template <class E, std::size_t N>
 using NameTable = std::array<std::pair<E, const char*>, N>;
 
-constexpr NameTable<Shape, 2> kShapes{{{Shape::sweep, "sweep"}, {Shape::daemon, "daemon"}}};
-constexpr NameTable<Rank, 4> kRanks{{{Rank::best_effort, "best_effort"},
-                                     {Rank::normal, "normal"},
-                                     {Rank::high, "high"},
-                                     {Rank::production, "production"}}};
-constexpr NameTable<MemberPhase, 4> kPhases{{{MemberPhase::pulling, "pulling"},
-                                             {MemberPhase::running, "running"},
-                                             {MemberPhase::flushing, "flushing"},
-                                             {MemberPhase::exited, "exited"}}};
-constexpr NameTable<ExitCause, 7> kCauses{{{ExitCause::none, "none"},
-                                           {ExitCause::done, "done"},
-                                           {ExitCause::halted, "halted"},
-                                           {ExitCause::error, "error"},
-                                           {ExitCause::no_room, "no_room"},
-                                           {ExitCause::busy, "busy"},
-                                           {ExitCause::no_such, "no_such"}}};
-constexpr NameTable<Verb, 3> kVerbs{{{Verb::start, "start"}, {Verb::stop, "stop"}, {Verb::forget, "forget"}}};
+constexpr NameTable<JobKind, 2> kJobKinds{{{JobKind::array, "sweep"}, {JobKind::service, "daemon"}}};
+constexpr NameTable<Priority, 4> kPriorities{{{Priority::best_effort, "best_effort"},
+                                              {Priority::normal, "normal"},
+                                              {Priority::high, "high"},
+                                              {Priority::production, "production"}}};
+constexpr NameTable<TaskState, 4> kTaskStates{{{TaskState::pulling_image, "pulling"},
+                                               {TaskState::running, "running"},
+                                               {TaskState::checkpointing, "flushing"},
+                                               {TaskState::exited, "exited"}}};
+constexpr NameTable<ExitReason, 7> kExitReasons{{{ExitReason::none, "none"},
+                                                 {ExitReason::done, "done"},
+                                                 {ExitReason::stopped, "halted"},
+                                                 {ExitReason::error, "error"},
+                                                 {ExitReason::insufficient_resources, "no_room"},
+                                                 {ExitReason::duplicate_task, "busy"},
+                                                 {ExitReason::unknown_task, "no_such"}}};
+constexpr NameTable<CommandType, 3> kCommandTypes{
+    {{CommandType::start, "start"}, {CommandType::stop, "stop"}, {CommandType::forget, "forget"}}};
 
 template <class E, std::size_t N>
 const char* name_in(const NameTable<E, N>& table, E value) {
@@ -89,18 +90,18 @@
   return jobs;
 }
 
-MemberId member_field(const Json& object) {
-  auto member = parse_member_id(text_field(object, "member"));
-  if (!member) bad("member", "has the wrong form");
-  return std::move(*member);
+TaskId task_field(const Json& object) {
+  auto task_id = parse_task_id(text_field(object, "member"));
+  if (!task_id) bad("member", "has the wrong form");
+  return std::move(*task_id);
 }
 
-Amounts amounts_of(const Json& object) {
+Resources resources_of(const Json& object) {
   return {amount_field(object, "cores"), amount_field(object, "accelerators"),
           amount_field(object, "ram_gb")};
 }
 
-void put_amounts(Json& object, const Amounts& amounts) {
+void put_resources(Json& object, const Resources& amounts) {
   object["cores"] = amounts.cores;
   object["accelerators"] = amounts.accelerators;
   object["ram_gb"] = amounts.ram_gb;
@@ -109,12 +110,14 @@
 }  // namespace
 
 FieldError::FieldError(std::string field, std::string problem)
-    : Malformed("field '" + field + "' " + problem), field_(std::move(field)), problem_(std::move(problem)) {}
+    : ProtocolError("field '" + field + "' " + problem),
+      field_(std::move(field)),
+      problem_(std::move(problem)) {}
 
 Json parse_object(const std::string& text) {
   Json value = Json::parse(text, nullptr, false);
-  if (value.is_discarded()) throw Malformed("body is not JSON");
-  if (!value.is_object()) throw Malformed("body is not an object");
+  if (value.is_discarded()) throw ProtocolError("body is not JSON");
+  if (!value.is_object()) throw ProtocolError("body is not an object");
   return value;
 }
 
@@ -151,202 +154,203 @@
   return value.get<bool>();
 }
 
-bool Amounts::fits(const Amounts& room) const {
+bool Resources::fits(const Resources& room) const {
   return cores <= room.cores + kRounding && accelerators <= room.accelerators + kRounding &&
          ram_gb <= room.ram_gb + kRounding;
 }
 
-Amounts& Amounts::operator+=(const Amounts& other) {
+Resources& Resources::operator+=(const Resources& other) {
   cores += other.cores;
   accelerators += other.accelerators;
   ram_gb += other.ram_gb;
   return *this;
 }
 
-Amounts& Amounts::operator-=(const Amounts& other) {
+Resources& Resources::operator-=(const Resources& other) {
   cores -= other.cores;
   accelerators -= other.accelerators;
   ram_gb -= other.ram_gb;
   return *this;
 }
 
-const char* name_of(Shape shape) { return name_in(kShapes, shape); }
-const char* name_of(Rank rank) { return name_in(kRanks, rank); }
-const char* name_of(ExitCause cause) { return name_in(kCauses, cause); }
+const char* name_of(JobKind shape) { return name_in(kJobKinds, shape); }
+const char* name_of(Priority priority) { return name_in(kPriorities, priority); }
+const char* name_of(ExitReason cause) { return name_in(kExitReasons, cause); }
 
 JobSpec parse_job(const Json& object) {
   JobSpec spec;
-  auto uid = parse_job_id(text_field(object, "uid"));
-  if (!uid) bad("uid", "has the wrong form");
-  spec.uid = std::move(*uid);
-  spec.queue = text_field(object, "queue");
-  spec.owner = text_field(object, "owner");
-  spec.shape = value_in(kShapes, text_field(object, "shape"), "shape");
-  spec.rank = value_in(kRanks, text_field(object, "rank"), "rank");
+  auto job_id = parse_job_id(text_field(object, "uid"));
+  if (!job_id) bad("uid", "has the wrong form");
+  spec.id = std::move(*job_id);
+  spec.job_class = text_field(object, "queue");
+  spec.team = text_field(object, "owner");
+  spec.kind = value_in(kJobKinds, text_field(object, "shape"), "shape");
+  spec.priority = value_in(kPriorities, text_field(object, "rank"), "rank");
   const auto members = count_field(object, "members");
-  if (members < 1 || members > kMaxMembers) bad("members", "is out of range");
-  spec.members = static_cast<std::uint32_t>(members);
-  spec.need = amounts_of(object);
-  if (spec.need.cores <= 0) bad("cores", "is out of range");
-  if (!absent(object, "flavors")) spec.flavors = texts_field(object, "flavors");
-  if (!absent(object, "rack_room")) spec.rack_room = text_field(object, "rack_room");
-  spec.together = flag_field(object, "together");
-  spec.scatter = flag_field(object, "scatter");
-  spec.reclaimable = flag_field(object, "reclaimable");
-  spec.bundle = text_field(object, "bundle");
-  spec.size_gb = amount_field(object, "size_gb");
-  spec.guess_s = amount_field(object, "guess_s");
-  spec.snapshot_every_s = amount_field(object, "snapshot_every_s");
-  spec.flush_s = amount_field(object, "flush_s");
-  if (!absent(object, "due_s")) spec.due_s = amount_field(object, "due_s");
-  if (!absent(object, "waits_on")) spec.waits_on = jobs_field(object, "waits_on");
+  if (members < 1 || members > kMaxTasks) bad("members", "is out of range");
+  spec.task_count = static_cast<std::uint32_t>(members);
+  spec.request = resources_of(object);
+  if (spec.request.cores <= 0) bad("cores", "is out of range");
+  if (!absent(object, "flavors")) spec.machine_types = texts_field(object, "flavors");
+  if (!absent(object, "rack_room")) spec.zone = text_field(object, "rack_room");
+  spec.zone_affinity = flag_field(object, "together");
+  spec.zone_spread = flag_field(object, "scatter");
+  spec.allows_preemptible = flag_field(object, "reclaimable");
+  spec.image = text_field(object, "bundle");
+  spec.image_size_gb = amount_field(object, "size_gb");
+  spec.estimated_runtime_s = amount_field(object, "guess_s");
+  spec.checkpoint_interval_s = amount_field(object, "snapshot_every_s");
+  spec.checkpoint_duration_s = amount_field(object, "flush_s");
+  if (!absent(object, "due_s")) spec.deadline_s = amount_field(object, "due_s");
+  if (!absent(object, "waits_on")) spec.depends_on = jobs_field(object, "waits_on");
   return spec;
 }
 
 Json to_json(const JobSpec& spec) {
-  Json object{{"uid", spec.uid.value},
-              {"queue", spec.queue},
-              {"owner", spec.owner},
-              {"shape", name_of(spec.shape)},
-              {"rank", name_of(spec.rank)},
-              {"members", spec.members},
-              {"together", spec.together},
-              {"scatter", spec.scatter},
-              {"reclaimable", spec.reclaimable},
-              {"bundle", spec.bundle},
-              {"size_gb", spec.size_gb},
-              {"guess_s", spec.guess_s},
-              {"snapshot_every_s", spec.snapshot_every_s},
-              {"flush_s", spec.flush_s}};
-  put_amounts(object, spec.need);
-  if (spec.flavors) object["flavors"] = *spec.flavors;
-  if (spec.rack_room) object["rack_room"] = *spec.rack_room;
-  if (spec.due_s) object["due_s"] = *spec.due_s;
+  Json object{{"uid", spec.id.value},
+              {"queue", spec.job_class},
+              {"owner", spec.team},
+              {"shape", name_of(spec.kind)},
+              {"rank", name_of(spec.priority)},
+              {"members", spec.task_count},
+              {"together", spec.zone_affinity},
+              {"scatter", spec.zone_spread},
+              {"reclaimable", spec.allows_preemptible},
+              {"bundle", spec.image},
+              {"size_gb", spec.image_size_gb},
+              {"guess_s", spec.estimated_runtime_s},
+              {"snapshot_every_s", spec.checkpoint_interval_s},
+              {"flush_s", spec.checkpoint_duration_s}};
+  put_resources(object, spec.request);
+  if (spec.machine_types) object["flavors"] = *spec.machine_types;
+  if (spec.zone) object["rack_room"] = *spec.zone;
+  if (spec.deadline_s) object["due_s"] = *spec.deadline_s;
   // Only where it is there: all other jobs look to version 0.2.0 as they always did.
-  if (!spec.waits_on.empty()) {
+  if (!spec.depends_on.empty()) {
     Json list = Json::array();
-    for (const auto& id : spec.waits_on) list.push_back(id.value);
+    for (const auto& id : spec.depends_on) list.push_back(id.value);
     object["waits_on"] = std::move(list);
   }
   return object;
 }
 
-std::vector<Flavor> parse_flavors(const Json& object) {
-  std::vector<Flavor> flavors;
+std::vector<MachineType> parse_machine_types(const Json& object) {
+  std::vector<MachineType> machine_types;
   for (const auto& item : list_field(object, "flavors")) {
-    Flavor flavor;
-    flavor.name = text_field(item, "name");
-    flavor.size = amounts_of(item);
-    flavor.local_gb = amount_field(item, "local_gb");
-    flavor.pull_gb_per_s = amount_field(item, "pull_gb_per_s");
-    flavor.rate = amount_field(item, "rate");
-    flavor.low_price = amount_field(item, "low_price");
-    flavor.boot_s = amount_field(item, "boot_s");
-    flavor.rack_rooms = texts_field(item, "rack_rooms");
-    flavors.push_back(std::move(flavor));
+    MachineType machine_type;
+    machine_type.name = text_field(item, "name");
+    machine_type.capacity = resources_of(item);
+    machine_type.local_gb = amount_field(item, "local_gb");
+    machine_type.image_pull_gb_per_s = amount_field(item, "pull_gb_per_s");
+    machine_type.hourly_price = amount_field(item, "rate");
+    machine_type.preemptible_hourly_price = amount_field(item, "low_price");
+    machine_type.boot_s = amount_field(item, "boot_s");
+    machine_type.zones = texts_field(item, "rack_rooms");
+    machine_types.push_back(std::move(machine_type));
   }
-  return flavors;
+  return machine_types;
 }
 
-Json to_json(const std::vector<Flavor>& flavors) {
+Json to_json(const std::vector<MachineType>& machine_types) {
   Json list = Json::array();
-  for (const auto& flavor : flavors) {
-    Json item{{"name", flavor.name},
-              {"local_gb", flavor.local_gb},
-              {"pull_gb_per_s", flavor.pull_gb_per_s},
-              {"rate", flavor.rate},
-              {"low_price", flavor.low_price},
-              {"boot_s", flavor.boot_s},
-              {"rack_rooms", flavor.rack_rooms}};
-    put_amounts(item, flavor.size);
+  for (const auto& machine_type : machine_types) {
+    Json item{{"name", machine_type.name},
+              {"local_gb", machine_type.local_gb},
+              {"pull_gb_per_s", machine_type.image_pull_gb_per_s},
+              {"rate", machine_type.hourly_price},
+              {"low_price", machine_type.preemptible_hourly_price},
+              {"boot_s", machine_type.boot_s},
+              {"rack_rooms", machine_type.zones}};
+    put_resources(item, machine_type.capacity);
     list.push_back(std::move(item));
   }
   return Json{{"flavors", std::move(list)}};
 }
 
-Report parse_report(const Json& object) {
-  Report report;
-  report.host = HostId{text_field(object, "host")};
-  report.address = text_field(object, "address");
-  report.flavor = text_field(object, "flavor");
-  report.rack_room = text_field(object, "rack_room");
-  report.reclaimable = flag_field(object, "reclaimable");
-  report.tenure = Tenure{count_field(object, "tenure")};
-  report.counter = count_field(object, "counter");
-  report.fence = Fence{count_field(object, "fence")};
-  if (!absent(object, "warning_s")) report.warning_s = amount_field(object, "warning_s");
+Heartbeat parse_heartbeat(const Json& object) {
+  Heartbeat heartbeat;
+  heartbeat.machine_id = MachineId{text_field(object, "host")};
+  heartbeat.address = text_field(object, "address");
+  heartbeat.machine_type = text_field(object, "flavor");
+  heartbeat.zone = text_field(object, "rack_room");
+  heartbeat.preemptible = flag_field(object, "reclaimable");
+  heartbeat.agent_epoch = AgentEpoch{count_field(object, "tenure")};
+  heartbeat.sequence = count_field(object, "counter");
+  heartbeat.fencing_token = FencingToken{count_field(object, "fence")};
+  if (!absent(object, "warning_s")) heartbeat.preemption_notice_s = amount_field(object, "warning_s");
   for (const auto& item : list_field(object, "members")) {
-    MemberReport member;
-    member.member = member_field(item);
-    member.try_no = TryNo{count_field(item, "try_no")};
-    member.phase = value_in(kPhases, text_field(item, "phase"), "phase");
-    if (member.phase == MemberPhase::exited)
-      member.cause = value_in(kCauses, text_field(item, "exit_cause"), "exit_cause");
-    if (!absent(item, "kept")) member.kept = flag_field(item, "kept");
-    report.members.push_back(std::move(member));
+    TaskStatus task_status;
+    task_status.task = task_field(item);
+    task_status.attempt = AttemptNumber{count_field(item, "try_no")};
+    task_status.state = value_in(kTaskStates, text_field(item, "phase"), "phase");
+    if (task_status.state == TaskState::exited)
+      task_status.exit_reason = value_in(kExitReasons, text_field(item, "exit_cause"), "exit_cause");
+    if (!absent(item, "kept")) task_status.checkpoint_saved = flag_field(item, "kept");
+    heartbeat.tasks.push_back(std::move(task_status));
   }
-  return report;
+  return heartbeat;
 }
 
-Json to_json(const Report& report) {
+Json to_json(const Heartbeat& heartbeat) {
   Json members = Json::array();
-  for (const auto& member : report.members) {
-    Json item{{"member", member.member.text()},
-              {"try_no", member.try_no.value},
-              {"phase", name_in(kPhases, member.phase)}};
-    if (member.phase == MemberPhase::exited) item["exit_cause"] = name_of(member.cause);
-    if (member.kept) item["kept"] = true;
+  for (const auto& task_status : heartbeat.tasks) {
+    Json item{{"member", task_status.task.text()},
+              {"try_no", task_status.attempt.value},
+              {"phase", name_in(kTaskStates, task_status.state)}};
+    if (task_status.state == TaskState::exited) item["exit_cause"] = name_of(task_status.exit_reason);
+    if (task_status.checkpoint_saved) item["kept"] = true;
     members.push_back(std::move(item));
   }
-  return Json{{"host", report.host.value},
-              {"address", report.address},
-              {"flavor", report.flavor},
-              {"rack_room", report.rack_room},
-              {"reclaimable", report.reclaimable},
-              {"tenure", report.tenure.value},
-              {"counter", report.counter},
-              {"fence", report.fence.value},
-              {"warning_s", report.warning_s ? Json(*report.warning_s) : Json(nullptr)},
-              {"members", std::move(members)}};
+  return Json{
+      {"host", heartbeat.machine_id.value},
+      {"address", heartbeat.address},
+      {"flavor", heartbeat.machine_type},
+      {"rack_room", heartbeat.zone},
+      {"reclaimable", heartbeat.preemptible},
+      {"tenure", heartbeat.agent_epoch.value},
+      {"counter", heartbeat.sequence},
+      {"fence", heartbeat.fencing_token.value},
+      {"warning_s", heartbeat.preemption_notice_s ? Json(*heartbeat.preemption_notice_s) : Json(nullptr)},
+      {"members", std::move(members)}};
 }
 
-Json to_json(const std::vector<Order>& orders) {
+Json to_json(const std::vector<Command>& commands) {
   Json list = Json::array();
-  for (const auto& order : orders) {
-    Json item{{"verb", name_in(kVerbs, order.verb)},
-              {"member", order.member.text()},
-              {"try_no", order.try_no.value}};
-    if (order.verb == Verb::stop) item["wind_down_s"] = order.wind_down_s;
+  for (const auto& command : commands) {
+    Json item{{"verb", name_in(kCommandTypes, command.type)},
+              {"member", command.task.text()},
+              {"try_no", command.attempt.value}};
+    if (command.type == CommandType::stop) item["wind_down_s"] = command.grace_period_s;
     list.push_back(std::move(item));
   }
   return list;
 }
 
-std::vector<Order> parse_orders(const Json& array) {
-  std::vector<Order> orders;
+std::vector<Command> parse_commands(const Json& array) {
+  std::vector<Command> commands;
   for (const auto& item : array) {
-    Order order;
-    order.verb = value_in(kVerbs, text_field(item, "verb"), "verb");
-    order.member = member_field(item);
-    order.try_no = TryNo{count_field(item, "try_no")};
-    if (order.verb == Verb::stop) order.wind_down_s = amount_field(item, "wind_down_s");
-    orders.push_back(std::move(order));
+    Command command;
+    command.type = value_in(kCommandTypes, text_field(item, "verb"), "verb");
+    command.task = task_field(item);
+    command.attempt = AttemptNumber{count_field(item, "try_no")};
+    if (command.type == CommandType::stop) command.grace_period_s = amount_field(item, "wind_down_s");
+    commands.push_back(std::move(command));
   }
-  return orders;
+  return commands;
 }
 
-HostPage parse_host_page(const Json& object) {
-  HostPage page;
+MachinePage parse_machine_page(const Json& object) {
+  MachinePage page;
   for (const auto& item : list_field(object, "hosts")) {
-    ListedHost host;
-    host.uid = HostId{text_field(item, "uid")};
-    host.address = absent(item, "address") ? "" : text_field(item, "address");
-    host.flavor = text_field(item, "flavor");
-    host.rack_room = text_field(item, "rack_room");
-    host.reclaimable = flag_field(item, "reclaimable");
-    host.phase = text_field(item, "phase");
-    host.held_s = amount_field(item, "held_s");
-    page.hosts.push_back(std::move(host));
+    ListedMachine machine_id;
+    machine_id.id = MachineId{text_field(item, "uid")};
+    machine_id.address = absent(item, "address") ? "" : text_field(item, "address");
+    machine_id.machine_type = text_field(item, "flavor");
+    machine_id.zone = text_field(item, "rack_room");
+    machine_id.preemptible = flag_field(item, "reclaimable");
+    machine_id.state = text_field(item, "phase");
+    machine_id.age_s = amount_field(item, "held_s");
+    page.machines.push_back(std::move(machine_id));
   }
   page.has_next = !absent(object, "has_next") && flag_field(object, "has_next");
   return page;
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -14,15 +14,15 @@
 using Json = nlohmann::json;
 
 constexpr std::size_t kMaxBody = std::size_t{64} * 1024;
-constexpr std::uint32_t kMaxMembers = 100'000;
+constexpr std::uint32_t kMaxTasks = 100'000;
 
 // A message that breaks the protocol; what() tells how.
-struct Malformed : std::runtime_error {
+struct ProtocolError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 // One field of a message breaks the protocol; what() is "field 'NAME' PROBLEM".
-class FieldError : public Malformed {
+class FieldError : public ProtocolError {
  public:
   FieldError(std::string field, std::string problem);
   const std::string& field() const noexcept { return field_; }
@@ -44,40 +44,40 @@
 bool absent(const Json& object, const char* name);  // missing or null
 
 // Of a task what it needs, of a machine what it has, of a team what it may use.
-struct Amounts {
+struct Resources {
   double cores = 0;
   double accelerators = 0;
   double ram_gb = 0;
-  bool fits(const Amounts& room) const;
-  Amounts& operator+=(const Amounts& other);
-  Amounts& operator-=(const Amounts& other);
-  bool operator==(const Amounts&) const = default;
+  bool fits(const Resources& room) const;
+  Resources& operator+=(const Resources& other);
+  Resources& operator-=(const Resources& other);
+  bool operator==(const Resources&) const = default;
 };
 
-enum class Shape { sweep, daemon };
-enum class Rank { best_effort, normal, high, production };  // rising
+enum class JobKind { array, service };
+enum class Priority { best_effort, normal, high, production };  // rising
 
 // A job as its user describes it.
 struct JobSpec {
-  JobId uid;
-  std::string queue;
-  std::string owner;
-  Shape shape = Shape::sweep;
-  Rank rank = Rank::normal;
-  std::uint32_t members = 1;
-  Amounts need;
-  std::optional<std::vector<std::string>> flavors;
-  std::optional<std::string> rack_room;
-  bool together = false;
-  bool scatter = false;
-  bool reclaimable = false;
-  std::string bundle;
-  double size_gb = 0;
-  double guess_s = 0;
-  double snapshot_every_s = 0;
-  double flush_s = 0;
-  std::optional<double> due_s;
-  std::vector<JobId> waits_on;  // must be done before any task starts; each named once
+  JobId id;
+  std::string job_class;
+  std::string team;
+  JobKind kind = JobKind::array;
+  Priority priority = Priority::normal;
+  std::uint32_t task_count = 1;
+  Resources request;
+  std::optional<std::vector<std::string>> machine_types;
+  std::optional<std::string> zone;
+  bool zone_affinity = false;
+  bool zone_spread = false;
+  bool allows_preemptible = false;
+  std::string image;
+  double image_size_gb = 0;
+  double estimated_runtime_s = 0;
+  double checkpoint_interval_s = 0;
+  double checkpoint_duration_s = 0;
+  std::optional<double> deadline_s;
+  std::vector<JobId> depends_on;  // must be done before any task starts; each named once
 };
 
 // Throws Malformed, as all parse functions here.
@@ -85,87 +85,87 @@
 Json to_json(const JobSpec& spec);
 
 // A machine type that the cloud offers.
-struct Flavor {
+struct MachineType {
   std::string name;
-  Amounts size;
+  Resources capacity;
   double local_gb = 0;
-  double pull_gb_per_s = 1;
-  double rate = 0;
-  double low_price = 0;
+  double image_pull_gb_per_s = 1;
+  double hourly_price = 0;
+  double preemptible_hourly_price = 0;
   double boot_s = 0;
-  std::vector<std::string> rack_rooms;
+  std::vector<std::string> zones;
 };
 
-std::vector<Flavor> parse_flavors(const Json& object);
-Json to_json(const std::vector<Flavor>& flavors);
+std::vector<MachineType> parse_machine_types(const Json& object);
+Json to_json(const std::vector<MachineType>& machine_types);
 
-enum class MemberPhase { pulling, running, flushing, exited };
-enum class ExitCause { none, done, halted, error, no_room, busy, no_such };
+enum class TaskState { pulling_image, running, checkpointing, exited };
+enum class ExitReason { none, done, stopped, error, insufficient_resources, duplicate_task, unknown_task };
 
 // What a worker tells about one attempt of a task.
-struct MemberReport {
-  MemberId member;
-  TryNo try_no;
-  MemberPhase phase = MemberPhase::pulling;
-  ExitCause cause = ExitCause::none;
-  bool kept = false;
-  bool operator==(const MemberReport&) const = default;
+struct TaskStatus {
+  TaskId task;
+  AttemptNumber attempt;
+  TaskState state = TaskState::pulling_image;
+  ExitReason exit_reason = ExitReason::none;
+  bool checkpoint_saved = false;
+  bool operator==(const TaskStatus&) const = default;
 };
 
-// What a worker tells at each report interval: itself and all that it runs.
-struct Report {
-  HostId host;
+// What a worker tells at each heartbeat interval: itself and all that it runs.
+struct Heartbeat {
+  MachineId machine_id;
   std::string address;
-  std::string flavor;
-  std::string rack_room;
-  bool reclaimable = false;
-  Tenure tenure;
-  std::uint64_t counter = 0;
-  Fence fence;
-  std::optional<double> warning_s;
-  std::vector<MemberReport> members;
-  bool operator==(const Report&) const = default;
+  std::string machine_type;
+  std::string zone;
+  bool preemptible = false;
+  AgentEpoch agent_epoch;
+  std::uint64_t sequence = 0;
+  FencingToken fencing_token;
+  std::optional<double> preemption_notice_s;
+  std::vector<TaskStatus> tasks;
+  bool operator==(const Heartbeat&) const = default;
 };
 
-Report parse_report(const Json& object);
-Json to_json(const Report& report);
+Heartbeat parse_heartbeat(const Json& object);
+Json to_json(const Heartbeat& heartbeat);
 
-enum class Verb { start, stop, forget };
+enum class CommandType { start, stop, forget };
 
 // What a worker is to do with one attempt of a task.
-struct Order {
-  Verb verb = Verb::start;
-  MemberId member;
-  TryNo try_no;
-  double wind_down_s = 0;
-  bool operator==(const Order&) const = default;
+struct Command {
+  CommandType type = CommandType::start;
+  TaskId task;
+  AttemptNumber attempt;
+  double grace_period_s = 0;
+  bool operator==(const Command&) const = default;
 };
 
-Json to_json(const std::vector<Order>& orders);
-std::vector<Order> parse_orders(const Json& array);
+Json to_json(const std::vector<Command>& commands);
+std::vector<Command> parse_commands(const Json& array);
 
 // A rented machine, as the cloud lists it.
-struct ListedHost {
-  HostId uid;
+struct ListedMachine {
+  MachineId id;
   std::string address;
-  std::string flavor;
-  std::string rack_room;
-  bool reclaimable = false;
-  std::string phase;
-  double held_s = 0;
+  std::string machine_type;
+  std::string zone;
+  bool preemptible = false;
+  std::string state;
+  double age_s = 0;
 };
 
 // One page of the cloud's list.
-struct HostPage {
-  std::vector<ListedHost> hosts;
+struct MachinePage {
+  std::vector<ListedMachine> machines;
   bool has_next = false;
 };
 
-HostPage parse_host_page(const Json& object);
+MachinePage parse_machine_page(const Json& object);
 
 // The names of these values in messages.
-const char* name_of(Shape shape);
-const char* name_of(Rank rank);
-const char* name_of(ExitCause cause);
+const char* name_of(JobKind shape);
+const char* name_of(Priority priority);
+const char* name_of(ExitReason cause);
 
 }  // namespace bankhill::wire
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -33,20 +33,20 @@
     RentalManager::Ports ports;
     ports.may_act = [this] { return may_act; };
     ports.send_to_cloud = [](const cloud::Cloud::Message&) {};
-    ports.machine_type = [this](const std::string& name) -> const wire::Flavor* {
+    ports.machine_type = [this](const std::string& name) -> const wire::MachineType* {
       for (const auto& type : machine_types)
         if (type.name == name) return &type;
       return nullptr;
     };
     ports.store_request = [this](const std::string&, const wire::RentalRecord& record,
                                  const std::function<void()>&) {
-      requests.push_back({record.flavor, record.count, record.reclaimable});
-      request_zones.push_back(record.rack_room);
+      requests.push_back({record.machine_type, record.count, record.preemptible});
+      request_zones.push_back(record.zone);
     };
     ports.store_machines = [](const std::string&, const wire::RentalRecord&) {};
     ports.remove_record = [](const std::string&) {};
-    ports.terminating = [this](const model::Machine& machine) { terminating.push_back(machine.host); };
-    ports.terminated = [](const wire::HostId&) {};
+    ports.terminating = [this](const model::Machine& machine) { terminating.push_back(machine.id); };
+    ports.terminated = [](const wire::MachineId&) {};
     ports.plan_soon = [] {};
     ports.count_event = [](const std::string&) {};
     return ports;
@@ -78,14 +78,14 @@
     return result;
   }
 
-  static wire::Flavor make_type(const std::string& name, double cores, double rate, double boot_s) {
-    wire::Flavor type;
+  static wire::MachineType make_type(const std::string& name, double cores, double rate, double boot_s) {
+    wire::MachineType type;
     type.name = name;
-    type.size = {cores, 0, 4 * cores};
-    type.rate = rate;
-    type.low_price = rate / 4;
+    type.capacity = {cores, 0, 4 * cores};
+    type.hourly_price = rate;
+    type.preemptible_hourly_price = rate / 4;
     type.boot_s = boot_s;
-    type.rack_rooms = {"a"};
+    type.zones = {"a"};
     return type;
   }
 
@@ -93,13 +93,13 @@
   model::Job& add_job(std::uint32_t tasks, bool preemptible = false) {
     const wire::JobId id{"job-" + std::to_string(jobs.size())};
     auto& job = jobs[id];
-    job.spec.uid = id;
-    job.spec.owner = "red";
-    job.spec.members = tasks;
-    job.spec.need = {4, 0, 1};
-    job.spec.guess_s = 100;
-    job.spec.reclaimable = preemptible;
-    job.accepted_at = job.ready_at = loop.wall();
+    job.spec.id = id;
+    job.spec.team = "red";
+    job.spec.task_count = tasks;
+    job.spec.request = {4, 0, 1};
+    job.spec.estimated_runtime_s = 100;
+    job.spec.allows_preemptible = preemptible;
+    job.accepted_at = job.eligible_at = loop.wall();
     job.reset_marks();
     live_jobs.emplace(id, &job);
     queue.came(job);
@@ -109,10 +109,10 @@
 
   model::Machine& add_machine(const std::string& machine_type, bool preemptible) {
     auto& machine = *fleet.add({"n-" + std::to_string(fleet.size())}).first;
-    machine.flavor = machine_type;
-    machine.rack_room = "a";
-    machine.reclaimable = preemptible;
-    machine.size = rental_ports().machine_type(machine_type)->size;
+    machine.machine_type = machine_type;
+    machine.zone = "a";
+    machine.preemptible = preemptible;
+    machine.capacity = rental_ports().machine_type(machine_type)->capacity;
     machine.first_seen = machine.idle_since = loop.now();
     machine.up = machine.recorded = machine.confirmed = true;
     fleet.refresh(machine);
@@ -127,7 +127,8 @@
   test_support::ManualLoop loop;
   runtime::Log log =
       std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::null_sink_mt>());
-  std::vector<wire::Flavor> machine_types = {make_type("small", 4, 1, 40), make_type("large", 16, 3.6, 60)};
+  std::vector<wire::MachineType> machine_types = {make_type("small", 4, 1, 40),
+                                                  make_type("large", 16, 3.6, 60)};
   std::map<wire::JobId, model::Job> jobs;
   std::map<wire::JobId, model::Job*> live_jobs;
   model::Fleet fleet;
@@ -140,14 +141,14 @@
 
   std::vector<Request> requests;
   std::vector<std::string> request_zones;
-  std::vector<wire::HostId> terminating;
+  std::vector<wire::MachineId> terminating;
   std::map<std::string, int> events;
   Overload overload;
   int plans = 0;
 
-  queue::Queue queue{{3, 15, {}, {}, 240, 0.5},
-                     {[](const model::Job&) { return true; }, [](const model::Job&) { return true; },
-                      [](const model::Job&) { return queue::Deadline{}; }}};
+  queue::JobQueue queue{{3, 15, {}, {}, 240, 0.5},
+                        {[](const model::Job&) { return true; }, [](const model::Job&) { return true; },
+                         [](const model::Job&) { return queue::Deadline{}; }}};
   RentalManager rentals{loop, log, {3, 15, 40, 5, 1000, ""}, fleet, rental_ports()};
   Autoscaler autoscaler{
       loop, log, {3, 15, 0.8, 0.1, 2.5}, {machine_types, live_jobs, queue, fleet, rentals}, ports()};
@@ -215,7 +216,7 @@
 }
 
 TEST_F(AutoscalerTest, TellsWhatCannotBeHad) {
-  for (auto& type : machine_types) type.rack_rooms.clear();
+  for (auto& type : machine_types) type.zones.clear();
   add_job(8);
   plan();
   EXPECT_TRUE(requests.empty());
@@ -233,7 +234,7 @@
 
 TEST_F(AutoscalerTest, RentsNothingForWorkThatIsBlocked) {
   add_job(8).blocked_until = loop.now() + 100;
-  add_job(8).released = false;
+  add_job(8).dependencies_met = false;
   may_start = false;
   plan();
   EXPECT_TRUE(requests.empty());
@@ -275,9 +276,9 @@
 
 TEST_F(AutoscalerTest, ReservesRoomForServicesToCome) {
   model::Job service;
-  service.spec.shape = wire::Shape::daemon;
-  service.spec.need = {4, 0, 1};
-  service.spec.members = 60;
+  service.spec.kind = wire::JobKind::service;
+  service.spec.request = {4, 0, 1};
+  service.spec.task_count = 60;
   service.accepted_at = loop.wall();
   autoscaler.service_accepted(service);
   EXPECT_EQ(autoscaler.reserved_cores(), 0);
@@ -313,7 +314,7 @@
   auto& preemptible = add_machine("large", true);
   for (int i = 0; i < 3; ++i) add_machine("large", true);
   serving.service_cores = 1;
-  kept.kept.cores = 1;
+  kept.reserved.cores = 1;
   loop.pass(100);
   auto& recent = add_machine("large", false);
   plan();
@@ -356,7 +357,7 @@
   plan();
   autoscaler.drain_if_excess(machine);
   ASSERT_TRUE(machine.draining);
-  const auto machine_id = machine.host;
+  const auto machine_id = machine.id;
   autoscaler.machine_terminated(machine_id);
   fleet.erase(machine_id);
   add_job(4);
@@ -368,7 +369,7 @@
 class StrandedJobTest : public AutoscalerTest {
  protected:
   StrandedJobTest() {
-    machine.used = machine.size;
+    machine.used = machine.capacity;
     fleet.refresh(machine);
   }
   model::Machine& machine = add_machine("large", false);
@@ -384,8 +385,8 @@
 }
 
 TEST_F(StrandedJobTest, EarnsAMachineInItsZone) {
-  for (auto& type : machine_types) type.rack_rooms = {"a", "b"};
-  job.spec.rack_room = "b";
+  for (auto& type : machine_types) type.zones = {"a", "b"};
+  job.spec.zone = "b";
   plan();
   EXPECT_EQ(requests, (std::vector<Request>{{"small", 1, false}}));
   EXPECT_EQ(request_zones, std::vector<std::string>{"b"});
@@ -397,7 +398,7 @@
   plan();
   EXPECT_TRUE(requests.empty());
   // Unless its tasks failed there.
-  job.failed_on.insert(machine.host);
+  job.failed_on.insert(machine.id);
   plan();
   EXPECT_EQ(requests.size(), 1U);
 }
@@ -430,7 +431,7 @@
   EXPECT_FALSE(autoscaler.terminate_if_idle(steady));  // the cloud charges a minute in any case
   loop.pass(1);
   EXPECT_TRUE(autoscaler.terminate_if_idle(steady));
-  EXPECT_EQ(terminating, std::vector<wire::HostId>{steady.host});
+  EXPECT_EQ(terminating, std::vector<wire::MachineId>{steady.id});
   EXPECT_FALSE(autoscaler.terminate_if_idle(preemptible));
   loop.pass(89);
   EXPECT_FALSE(autoscaler.terminate_if_idle(preemptible));
@@ -441,8 +442,8 @@
 TEST_F(AutoscalerTest, KeepsMachinesThatAreUsedOrKeptForATask) {
   auto& busy = add_machine("large", false);
   auto& kept = add_machine("large", false);
-  busy.binds.emplace(wire::MemberId{{"job-1"}, 0}, model::Bind{});
-  kept.kept.cores = 1;
+  busy.assignments.emplace(wire::TaskId{{"job-1"}, 0}, model::Assignment{});
+  kept.reserved.cores = 1;
   loop.pass(1000);
   EXPECT_FALSE(autoscaler.terminate_if_idle(busy));
   EXPECT_FALSE(autoscaler.terminate_if_idle(kept));
--- a/tests/boot_statistics_test.cpp
+++ b/tests/boot_statistics_test.cpp
@@ -1,7 +1,8 @@
-// Whether boots in general are bad (model/boots.hpp).
+// Whether boots in general are bad (model/boot_statistics.hpp).
+#include "model/boot_statistics.hpp"
+
 #include <gtest/gtest.h>
 
-#include "model/boots.hpp"
 #include "model/decay.hpp"
 
 namespace bankhill::model {
@@ -10,7 +11,7 @@
 constexpr double kNothingForgotten = 1;
 
 TEST(BootStatistics, FourBootsAreTooFewForAJudgement) {
-  Boots boots;
+  BootStatistics boots;
   for (int i = 0; i < 4; ++i) EXPECT_FALSE(boots.note(false, kNothingForgotten).has_value());
   EXPECT_EQ(boots.note(false, kNothingForgotten), std::optional(true));
   EXPECT_EQ(boots.known(), 5);
@@ -18,14 +19,14 @@
 }
 
 TEST(BootStatistics, ThreeInTenLateAreNotBadAndMoreAre) {
-  Boots boots;
+  BootStatistics boots;
   for (int i = 0; i < 7; ++i) EXPECT_FALSE(boots.note(true, kNothingForgotten).has_value());
   for (int i = 0; i < 3; ++i) EXPECT_FALSE(boots.note(false, kNothingForgotten).has_value());
   EXPECT_EQ(boots.note(false, kNothingForgotten), std::optional(true));
 }
 
 TEST(BootStatistics, TellsEachChangeOnceAndIsWellAgainAtHalfTheShare) {
-  Boots boots;
+  BootStatistics boots;
   for (int i = 0; i < 5; ++i) boots.note(false, kNothingForgotten);
   EXPECT_FALSE(boots.note(false, kNothingForgotten).has_value());  // bad already
   int in_time = 0;
@@ -41,7 +42,7 @@
 }
 
 TEST(BootStatistics, WhatWasCountedLongAgoCountsNoMore) {
-  Boots boots;
+  BootStatistics boots;
   for (int i = 0; i < 100; ++i) boots.note(true, kNothingForgotten);
   boots.note(false, 0);
   EXPECT_EQ(boots.known(), 1);
--- a/tests/calendar_test.cpp
+++ b/tests/calendar_test.cpp
@@ -8,7 +8,7 @@
 #include <cmath>
 #include <random>
 
-#include "calendar/outlook.hpp"
+#include "calendar/deadline_forecast.hpp"
 
 namespace bankhill::calendar {
 namespace {
@@ -164,17 +164,18 @@
 
 // ---- how cutoffs stand
 
-std::vector<Outlook::Told> look(Outlook& outlook, double now, double core_s, Outlook::Supply supply,
-                                double cutoff = 10'000, double task_s = 10) {
+std::vector<DeadlineForecast::ForecastChange> look(DeadlineForecast& outlook, double now, double core_s,
+                                                   DeadlineForecast::Supply supply, double cutoff = 10'000,
+                                                   double task_s = 10) {
   outlook.begin(now);
   if (core_s > 0) outlook.add("red", cutoff, core_s, task_s);
   return outlook.end([&](const std::string&) { return supply; });
 }
 
 TEST(Outlook, SaysWhatCanBeHadAndOnlyWhatChanges) {
-  using State = Outlook::State;
-  Outlook outlook;
-  const Outlook::Supply ten{10, 10, 0};  // 100,000 core-seconds until then
+  using State = DeadlineForecast::State;
+  DeadlineForecast outlook;
+  const DeadlineForecast::Supply ten{10, 10, 0};  // 100,000 core-seconds until then
   auto told = look(outlook, 0, 50'000, ten);
   ASSERT_EQ(told.size(), 1U);
   EXPECT_EQ(told[0].state, State::on_time);
@@ -198,18 +199,18 @@
 
 // What is due earlier takes its part first.
 TEST(Outlook, EarlierCutoffsComeOffTheRoomOfLaterOnes) {
-  Outlook outlook;
+  DeadlineForecast outlook;
   outlook.begin(0);
   outlook.add("red", 1'000, 9'000, 10);
   outlook.add("red", 2'000, 9'000, 10);
   outlook.add("red", 2'500, 9'000, 10);
   outlook.add("blue", 2'500, 1'000, 10);
-  const auto told = outlook.end([](const std::string&) { return Outlook::Supply{10, 10, 0}; });
+  const auto told = outlook.end([](const std::string&) { return DeadlineForecast::Supply{10, 10, 0}; });
   ASSERT_EQ(told.size(), 4U);
   for (const auto& item : told)
-    EXPECT_EQ(item.state, item.owner == "blue"   ? Outlook::State::on_time
-                          : item.cutoff == 2'500 ? Outlook::State::short_of
-                                                 : Outlook::State::tight)
+    EXPECT_EQ(item.state, item.owner == "blue"   ? DeadlineForecast::State::on_time
+                          : item.cutoff == 2'500 ? DeadlineForecast::State::short_of
+                                                 : DeadlineForecast::State::tight)
         << item.owner << item.cutoff;
 }
 
--- a/tests/capacity_backoff_test.cpp
+++ b/tests/capacity_backoff_test.cpp
@@ -1,7 +1,7 @@
-// Until when the cloud is not asked again for what it had none of (model/stockouts.hpp).
-#include <gtest/gtest.h>
+// Until when the cloud is not asked again for what it had none of (model/capacity_backoff.hpp).
+#include "model/capacity_backoff.hpp"
 
-#include "model/stockouts.hpp"
+#include <gtest/gtest.h>
 
 namespace bankhill::model {
 namespace {
@@ -10,13 +10,13 @@
 const Pool kPool{"small", "zone-a", false};
 
 TEST(CapacityBackoff, WhatWasNeverRefusedMayBeAskedFor) {
-  const Stockouts stockouts;
+  const CapacityBackoff stockouts;
   EXPECT_TRUE(stockouts.may_ask(kPool, 0));
   EXPECT_FALSE(stockouts.doubtful(kPool));
 }
 
 TEST(CapacityBackoff, PausesDoubleFromHalfARoundToFour) {
-  Stockouts stockouts;
+  CapacityBackoff stockouts;
   double now = 100;
   for (const double pause : {0.5, 1.0, 2.0, 4.0, 4.0}) {
     stockouts.note(kPool, now, kRoundS);
@@ -29,14 +29,14 @@
 
 // Each of the eight answers of a burst doubled it once: the pause was four rounds at once.
 TEST(CapacityBackoff, TheAnswersOfOneBurstCountOnce) {
-  Stockouts stockouts;
+  CapacityBackoff stockouts;
   for (int i = 0; i < 8; ++i) stockouts.note(kPool, 100 + 0.5 * i, kRoundS);
   EXPECT_FALSE(stockouts.may_ask(kPool, 107.75));
   EXPECT_TRUE(stockouts.may_ask(kPool, 108));
 }
 
 TEST(CapacityBackoff, CapacityFoundEndsItForThisPoolAlone) {
-  Stockouts stockouts;
+  CapacityBackoff stockouts;
   const Pool preemptible{"small", "zone-a", true};
   stockouts.note(kPool, 100, kRoundS);
   stockouts.note(preemptible, 100, kRoundS);
@@ -49,7 +49,7 @@
 }
 
 TEST(CapacityBackoff, ClearForgetsAll) {
-  Stockouts stockouts;
+  CapacityBackoff stockouts;
   stockouts.note(kPool, 100, kRoundS);
   stockouts.clear();
   EXPECT_TRUE(stockouts.may_ask(kPool, 100));
--- a/tests/meeting_days.cpp
+++ b/tests/combined_fault_days.cpp
@@ -4,22 +4,22 @@
 #include <iostream>
 #include <optional>
 
-#include "sim/meetings.hpp"
+#include "sim/combined_faults.hpp"
 
 namespace {
 
 constexpr int kExitBroken = 1;
 constexpr std::size_t kLines = 10;  // of a day, unless it is told alone
 
-using bankhill::sim::World;
+using bankhill::sim::SimulatedCluster;
 
-void print(const World::CancelledStarts& starts) {
+void print(const SimulatedCluster::CancelledStarts& starts) {
   std::cout << "starts after a confirmed cancellation: " << starts.all
             << ", ordered after it: " << starts.ordered_after
             << ", though nothing kept the controller from knowing: " << starts.knowable << std::endl;
 }
 
-bool play(std::uint64_t seed, int controllers, bool story, World::CancelledStarts& starts) {
+bool play(std::uint64_t seed, int controllers, bool story, SimulatedCluster::CancelledStarts& starts) {
   std::optional<bankhill::sim::MeetingDay> day;
   std::vector<std::string> broken;
   try {
@@ -55,7 +55,7 @@
   program.add_option("--controllers", controllers, "instead of three or five, by the seed")
       ->check(CLI::Range(1, 10));
   CLI11_PARSE(program, argc, argv);
-  World::CancelledStarts starts;
+  SimulatedCluster::CancelledStarts starts;
   if (seed) {
     const bool well = play(*seed, controllers, true, starts);
     print(starts);
--- a/tests/meetings_answers_test.cpp
+++ b/tests/combined_faults_answers_test.cpp
@@ -14,7 +14,7 @@
 // Those of the late transactions, and one that only some of their kind are.
 std::vector<Record> kinds() {
   auto all = records();
-  all.push_back({"pipeline_cancelled", wire::kJobs, "cancelled"});  // by the leader, not by a user
+  all.push_back({"pipeline_cancelled", wire::kJobKeyPrefix, "cancelled"});  // by the leader, not by a user
   return all;
 }
 
@@ -36,12 +36,12 @@
                                   std::string("_") + std::to_string(std::get<1>(of.param));
                          });
 
-bool is_kind(World& world, const Record& kind, const wire::Json& write) {
-  if (!matches(world, kind, write)) return false;
+bool is_kind(SimulatedCluster& cluster, const Record& kind, const wire::Json& write) {
+  if (!matches(cluster, kind, write)) return false;
   const std::string name = kind.name;
   if (name != "pipeline_cancelled" && name != "withdrawal") return true;
-  const auto found = world.jobs().find(key_of(write).substr(wire::kJobs.size()));
-  if (found == world.jobs().end()) return false;
+  const auto found = cluster.jobs().find(key_of(write).substr(wire::kJobKeyPrefix.size()));
+  if (found == cluster.jobs().end()) return false;
   return found->second.cancel_asked == (name == "withdrawal");
 }
 
@@ -55,27 +55,27 @@
     for (int seed = 60, lost = 0; lost == 0; ++seed) {
       ASSERT_LT(seed, 72) << "lost too seldom";
       SCOPED_TRACE("sender " + std::to_string(sender) + ", seed " + std::to_string(seed));
-      World world(static_cast<std::uint64_t>(seed), std::get<1>(GetParam()));
-      world.close_looks(200, 0.1);
+      SimulatedCluster cluster(static_cast<std::uint64_t>(seed), std::get<1>(GetParam()));
+      cluster.close_looks(200, 0.1);
       double behind_until = 0;
       int left = 3;
       std::function<bool(const wire::Json&)> wanted = [&](const wire::Json& write) {
-        if (!is_kind(world, kind, write)) return false;
+        if (!is_kind(cluster, kind, write)) return false;
         --left;
-        world.at(world.now() + 0.001, [&] {
+        cluster.at(cluster.now() + 0.001, [&] {
           if (left > 0) {
-            world.state_service().delay_next = nullptr;
-            world.state_service().lose_answer_of_next = wanted;
+            cluster.state_service().delay_next = nullptr;
+            cluster.state_service().lose_answer_of_next = wanted;
           }
           switch (static_cast<Sender>(sender)) {
             case Sender::is_behind:
-              behind_until = world.now() + 3;
+              behind_until = cluster.now() + 3;
               break;
             case Sender::is_refused:
-              world.refuse(world.state_service().lost_answer_of, 1.5);
+              cluster.refuse(cluster.state_service().lost_answer_of, 1.5);
               break;
             case Sender::ends:
-              world.crash(world.state_service().lost_answer_of, 0.5);
+              cluster.crash(cluster.state_service().lost_answer_of, 0.5);
               break;
             default:
               break;
@@ -83,28 +83,29 @@
         });
         return true;
       };
-      world.state_service().lose_answer_of_next = wanted;
-      world.held_up = [&](const std::string& from, const std::string& to, const std::string&) {
-        const bool late = from == "state" && world.now() < behind_until &&
-                          to == "node-" + std::to_string(world.state_service().lost_answer_of);
+      cluster.state_service().lose_answer_of_next = wanted;
+      cluster.held_up = [&](const std::string& from, const std::string& to, const std::string&) {
+        const bool late = from == "state" && cluster.now() < behind_until &&
+                          to == "node-" + std::to_string(cluster.state_service().lost_answer_of);
         return late ? 0.85 : 0.0;
       };
-      deploy_policies(world);
-      for (const double when : {6.0, 14.0, 40.0}) world.at(when, [&world] { submit_some(world); });
-      world.at(30, [&world] { world.kill_machines(0.5); });
-      for (const double when : {15.0, 40.5}) world.at(when, [&world] { world.deafen_machines(0.7, 8); });
-      world.run(70);
-      while (world.now() < 130 && world.state_service().lost_answers == 0) world.run(world.now() + 1);
-      lost = static_cast<int>(world.state_service().lost_answers);
+      deploy_policies(cluster);
+      for (const double when : {6.0, 14.0, 40.0}) cluster.at(when, [&cluster] { submit_some(cluster); });
+      cluster.at(30, [&cluster] { cluster.kill_machines(0.5); });
+      for (const double when : {15.0, 40.5})
+        cluster.at(when, [&cluster] { cluster.deafen_machines(0.7, 8); });
+      cluster.run(70);
+      while (cluster.now() < 130 && cluster.state_service().lost_answers == 0) cluster.run(cluster.now() + 1);
+      lost = static_cast<int>(cluster.state_service().lost_answers);
       if (lost == 0) continue;  // not on every day is there such a transaction
       // The next leader reads what is stored.
-      crash_all(world, 1);
-      world.run(world.now() + 5);
-      run_until_all_over(world, 120);
-      world.run(world.now() + 10);
-      EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
-      EXPECT_EQ(world.leaders(), 1);
-      EXPECT_TRUE(all_over(world));
+      crash_all(cluster, 1);
+      cluster.run(cluster.now() + 5);
+      run_until_all_over(cluster, 120);
+      cluster.run(cluster.now() + 10);
+      EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
+      EXPECT_EQ(cluster.leaders(), 1);
+      EXPECT_TRUE(all_over(cluster));
     }
 }
 
@@ -116,20 +117,20 @@
   for (const double share : {0.3, 1.0})
     for (int seed = 1; seed <= 3; ++seed) {
       SCOPED_TRACE("share " + std::to_string(share) + ", seed " + std::to_string(seed));
-      World world(static_cast<std::uint64_t>(seed), GetParam());
-      world.run(5);
-      submit_some(world);
-      world.run(12 + seed);
-      world.close_looks(60, 0.1);
-      world.lost_answers(share, 40);
-      for (int i = 1; i < 5; ++i) world.at(world.now() + 8 * i, [&world] { submit_some(world); });
-      world.at(world.now() + 9 * seed, [&world] { world.crash(std::max(0, world.leader()), 1); });
-      world.run(70);
-      run_until_all_over(world, 170);
-      EXPECT_GE(world.state_service().committed_late, 5U);
-      EXPECT_TRUE(all_over(world));
-      EXPECT_EQ(world.leaders(), 1);
-      EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
+      SimulatedCluster cluster(static_cast<std::uint64_t>(seed), GetParam());
+      cluster.run(5);
+      submit_some(cluster);
+      cluster.run(12 + seed);
+      cluster.close_looks(60, 0.1);
+      cluster.lost_answers(share, 40);
+      for (int i = 1; i < 5; ++i) cluster.at(cluster.now() + 8 * i, [&cluster] { submit_some(cluster); });
+      cluster.at(cluster.now() + 9 * seed, [&cluster] { cluster.crash(std::max(0, cluster.leader()), 1); });
+      cluster.run(70);
+      run_until_all_over(cluster, 170);
+      EXPECT_GE(cluster.state_service().committed_late, 5U);
+      EXPECT_TRUE(all_over(cluster));
+      EXPECT_EQ(cluster.leaders(), 1);
+      EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
     }
 }
 
--- a/tests/meetings_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -1,5 +1,5 @@
 // Seeded days on which troubles meet; bankhill_meeting_days plays more of them.
-#include "sim/meetings.hpp"
+#include "sim/combined_faults.hpp"
 
 #include <gtest/gtest.h>
 
