--- a/tests/meetings_users_test.cpp
+++ b/tests/combined_faults_users_test.cpp
@@ -18,14 +18,14 @@
 
 SimJob batch(std::uint32_t members, double run_s) {
   auto job = kept_batch(members, 1, run_s);
-  job.spec.need.ram_gb = 1;
+  job.spec.request.ram_gb = 1;
   return job;
 }
 
-Request question(const std::string& uid) { return {Method::get, "/submissions/" + uid, ""}; }
+Request question(const std::string& job_id) { return {Method::get, "/submissions/" + job_id, ""}; }
 Request submission(const SimJob& job) { return {Method::post, "/submissions", to_json(job.spec).dump()}; }
-Request withdrawal(const std::string& uid) {
-  return {Method::post, "/submissions/" + uid + "/withdraw", "{}"};
+Request withdrawal(const std::string& job_id) {
+  return {Method::post, "/submissions/" + job_id + "/withdraw", "{}"};
 }
 
 std::string phase_of(const net::Response& response) {
@@ -50,8 +50,9 @@
 // What a controller that is behind the others answers: the state as of the answers that this one stored.
 class StaleNode {
  public:
-  StaleNode(World& world, int node) : world_(world), rest_(std::exchange(world.to_node, nullptr)) {
-    world.to_node = [this, node](int to, Request request, net::Reply reply) {
+  StaleNode(SimulatedCluster& cluster, int node)
+      : world_(cluster), rest_(std::exchange(cluster.to_node, nullptr)) {
+    cluster.to_node = [this, node](int to, Request request, net::Reply reply) {
       if (to != node || !request.path.starts_with("/submissions") || answer.status == 0)
         return rest_(to, std::move(request), std::move(reply));
       reply(answer);
@@ -63,7 +64,7 @@
   net::Response answer{0, "", std::nullopt};  // 0: it answers by itself
 
  private:
-  World& world_;
+  SimulatedCluster& world_;
   std::function<void(int, Request, net::Reply)> rest_;
 };
 
@@ -73,23 +74,23 @@
   for (const bool done : {true, false})
     for (const auto& kind : {"question", "submission", "withdrawal"}) {
       SCOPED_TRACE(std::string(done ? "done, " : "cancelled, ") + kind);
-      World world(71, 3);
-      world.run(5);
-      const auto uid = world.submit(batch(1, done ? 1 : 100));
-      world.run(done ? 40 : 20);
+      SimulatedCluster cluster(71, 3);
+      cluster.run(5);
+      const auto job_id = cluster.submit(batch(1, done ? 1 : 100));
+      cluster.run(done ? 40 : 20);
       if (!done) {
-        world.jobs().at(uid).cancel_asked = true;
-        ASSERT_EQ(phase_of(world.ask(0, withdrawal(uid))), "cancelled");
+        cluster.jobs().at(job_id).cancel_asked = true;
+        ASSERT_EQ(phase_of(cluster.ask(0, withdrawal(job_id))), "cancelled");
       }
-      ASSERT_EQ(phase_of(world.ask(0, question(uid))), done ? "done" : "cancelled");
-      ASSERT_TRUE(world.broken().empty()) << listing(world.broken());
-      StaleNode stale(world, 1);
-      stale.answer = {200, "{\"uid\":\"" + uid + "\",\"phase\":\"queued\"}", std::nullopt};
+      ASSERT_EQ(phase_of(cluster.ask(0, question(job_id))), done ? "done" : "cancelled");
+      ASSERT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
+      StaleNode stale(cluster, 1);
+      stale.answer = {200, "{\"uid\":\"" + job_id + "\",\"phase\":\"queued\"}", std::nullopt};
       const std::string what = kind;
-      world.ask(1, what == "question"     ? question(uid)
-                   : what == "submission" ? submission(world.jobs().at(uid))
-                                          : withdrawal(uid));
-      EXPECT_TRUE(any_of(world.broken(), "went_back")) << listing(world.broken());
+      cluster.ask(1, what == "question"     ? question(job_id)
+                     : what == "submission" ? submission(cluster.jobs().at(job_id))
+                                            : withdrawal(job_id));
+      EXPECT_TRUE(any_of(cluster.broken(), "went_back")) << listing(cluster.broken());
     }
 }
 
@@ -97,19 +98,19 @@
 // way.
 TEST(Checker, SeesAnAnswerOlderThanOneUnderWay) {
   for (const double after_ms : {-0.5, 0.5}) {
-    World world(72, 3);
-    world.run(5);
-    const auto uid = world.submit(batch(1, 100));
-    world.run(20);
-    ASSERT_EQ(phase_of(world.ask(0, question(uid))), "running");
-    StaleNode stale(world, 1);
-    stale.answer = {200, "{\"uid\":\"" + uid + "\",\"phase\":\"running\"}", std::nullopt};
-    auto& job = world.jobs().at(uid);
+    SimulatedCluster cluster(72, 3);
+    cluster.run(5);
+    const auto job_id = cluster.submit(batch(1, 100));
+    cluster.run(20);
+    ASSERT_EQ(phase_of(cluster.ask(0, question(job_id))), "running");
+    StaleNode stale(cluster, 1);
+    stale.answer = {200, "{\"uid\":\"" + job_id + "\",\"phase\":\"running\"}", std::nullopt};
+    auto& job = cluster.jobs().at(job_id);
     job.cancel_asked = true;
-    job.cancelled_left = world.now() + 0.01;
-    world.run(world.now() + 0.01 + after_ms / 1000);
-    world.ask(1, question(uid));
-    EXPECT_EQ(any_of(world.broken(), "went_back"), after_ms > 0) << listing(world.broken());
+    job.cancelled_left = cluster.now() + 0.01;
+    cluster.run(cluster.now() + 0.01 + after_ms / 1000);
+    cluster.ask(1, question(job_id));
+    EXPECT_EQ(any_of(cluster.broken(), "went_back"), after_ms > 0) << listing(cluster.broken());
   }
 }
 
@@ -117,31 +118,31 @@
 TEST(Checker, SeesAnAcceptedJobDenied) {
   for (const int status : {400, 404, 422, 201})
     for (const bool again : {true, false}) {
-      World world(73, 3);
-      world.run(5);
-      const auto uid = world.submit(batch(1, 100));
-      world.run(20);
-      ASSERT_GT(world.jobs().at(uid).accepted_left, 0);
-      StaleNode stale(world, 1);
-      stale.answer = {status, "{\"uid\":\"" + uid + "\",\"phase\":\"queued\"}", std::nullopt};
-      world.ask(1, again ? submission(world.jobs().at(uid)) : question(uid));
-      EXPECT_TRUE(any_of(world.broken(), "forgotten")) << status;
+      SimulatedCluster cluster(73, 3);
+      cluster.run(5);
+      const auto job_id = cluster.submit(batch(1, 100));
+      cluster.run(20);
+      ASSERT_GT(cluster.jobs().at(job_id).accepted_left, 0);
+      StaleNode stale(cluster, 1);
+      stale.answer = {status, "{\"uid\":\"" + job_id + "\",\"phase\":\"queued\"}", std::nullopt};
+      cluster.ask(1, again ? submission(cluster.jobs().at(job_id)) : question(job_id));
+      EXPECT_TRUE(any_of(cluster.broken(), "forgotten")) << status;
     }
 }
 
 // A controller that takes whatever comes.
 TEST(Checker, SeesAJobAcceptedThatIsUnfit) {
-  World world(74, 3);
-  world.run(5);
-  world.odd_requests(20);
-  world.run(25);
-  EXPECT_GE(world.odd_answered(), 10U);
-  EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
-  StaleNode stale(world, 1);
+  SimulatedCluster cluster(74, 3);
+  cluster.run(5);
+  cluster.odd_requests(20);
+  cluster.run(25);
+  EXPECT_GE(cluster.odd_answered(), 10U);
+  EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
+  StaleNode stale(cluster, 1);
   stale.answer = {201, R"({"uid":"job-800000","phase":"queued"})", std::nullopt};
-  world.odd_requests(20);
-  world.run(50);
-  EXPECT_TRUE(any_of(world.broken(), "accepted_unfit"));
+  cluster.odd_requests(20);
+  cluster.run(50);
+  EXPECT_TRUE(any_of(cluster.broken(), "accepted_unfit"));
 }
 
 // ---- the meetings
@@ -156,40 +157,41 @@
 TEST_P(UsersMeeting, AskEverywhereAtOnce) {
   for (const int jobs : {20, 200}) {
     SCOPED_TRACE(std::to_string(jobs) + " jobs");
-    World world(static_cast<std::uint64_t>(jobs), GetParam());
-    world.run(20);
-    world.close_looks(100, 0.4);
+    SimulatedCluster cluster(static_cast<std::uint64_t>(jobs), GetParam());
+    cluster.run(20);
+    cluster.close_looks(100, 0.4);
     for (int i = 0; i < jobs; ++i)
-      world.at(world.now() + world.uniform(0, jobs / 20.0), [&world] {
-        auto job = batch(1, world.uniform(1, 6));
+      cluster.at(cluster.now() + cluster.uniform(0, jobs / 20.0), [&cluster] {
+        auto job = batch(1, cluster.uniform(1, 6));
         job.kept = false;
-        job.spec.need.cores = 0.1;
-        job.spec.need.ram_gb = 0.1;
-        world.submit(job);
+        job.spec.request.cores = 0.1;
+        job.spec.request.ram_gb = 0.1;
+        cluster.submit(job);
       });
-    world.run(50);
+    cluster.run(50);
     int cancelled = 0;
-    for (const auto& [uid, job] : world.jobs()) {
-      EXPECT_TRUE(job.told_done || job.told_cancelled > 0) << uid;
+    for (const auto& [job_id, job] : cluster.jobs()) {
+      EXPECT_TRUE(job.told_done || job.told_cancelled > 0) << job_id;
       cancelled += job.told_cancelled > 0;
     }
     EXPECT_GE(cancelled, jobs / 10);
-    EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
-    EXPECT_EQ(world.state_service().requests_refused, 0U);
-    EXPECT_EQ(world.state_service().writes_refused, 0U);
-    EXPECT_LT(most(world.state_service().requests_by_second(), 20), 300U);
+    EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
+    EXPECT_EQ(cluster.state_service().requests_refused, 0U);
+    EXPECT_EQ(cluster.state_service().writes_refused, 0U);
+    EXPECT_LT(most(cluster.state_service().requests_by_second(), 20), 300U);
     std::printf(
         "%d jobs, %d controllers: %llu questions, at most %llu requests a second, %llu puts refused\n", jobs,
-        GetParam(), static_cast<unsigned long long>(world.looks()),
-        static_cast<unsigned long long>(most(world.state_service().requests_by_second(), 20)),
-        static_cast<unsigned long long>(world.state_service().writes_refused));
+        GetParam(), static_cast<unsigned long long>(cluster.looks()),
+        static_cast<unsigned long long>(most(cluster.state_service().requests_by_second(), 20)),
+        static_cast<unsigned long long>(cluster.state_service().writes_refused));
   }
 }
 
 // What every controller answers, without another look at the same instant.
-std::vector<std::string> phases(World& world, const std::string& uid) {
+std::vector<std::string> phases(SimulatedCluster& cluster, const std::string& job_id) {
   std::vector<std::string> result;
-  for (int node = 0; node < world.nodes(); ++node) result.push_back(phase_of(world.ask(node, question(uid))));
+  for (int node = 0; node < cluster.nodes(); ++node)
+    result.push_back(phase_of(cluster.ask(node, question(job_id))));
   return result;
 }
 
@@ -199,38 +201,38 @@
 TEST_P(UsersMeeting, AnEndMeetsItsUser) {
   for (const double within : {0.05, 1.5}) {
     SCOPED_TRACE(within);
-    World world(static_cast<std::uint64_t>(within * 100), GetParam());
-    world.punctual = true;
-    world.run(10);
-    world.submit(kept_service(1, 1));  // its machine and image are there when the others come
-    world.run(30);
-    world.cancel_at_end(1, 60, within);
-    world.close_looks(60, 0);
+    SimulatedCluster cluster(static_cast<std::uint64_t>(within * 100), GetParam());
+    cluster.punctual = true;
+    cluster.run(10);
+    cluster.submit(kept_service(1, 1));  // its machine and image are there when the others come
+    cluster.run(30);
+    cluster.cancel_at_end(1, 60, within);
+    cluster.close_looks(60, 0);
     std::vector<std::string> jobs;
     for (int i = 0; i < 60; ++i)
-      world.at(world.now() + 0.5 * i, [&world, &jobs, i] {
-        auto job = batch(static_cast<std::uint32_t>(1 + i % 3), world.uniform(2, 5));
-        job.spec.need.cores = 0.2;
-        jobs.push_back(world.submit(job));
+      cluster.at(cluster.now() + 0.5 * i, [&cluster, &jobs, i] {
+        auto job = batch(static_cast<std::uint32_t>(1 + i % 3), cluster.uniform(2, 5));
+        job.spec.request.cores = 0.2;
+        jobs.push_back(cluster.submit(job));
       });
-    world.run(80);
+    cluster.run(80);
     int done = 0;
     int cancelled = 0;
     std::vector<std::string> ends;
-    for (const auto& uid : jobs) {
-      const auto& job = world.jobs().at(uid);
-      EXPECT_NE(job.told_done, job.told_cancelled > 0) << uid;
+    for (const auto& job_id : jobs) {
+      const auto& job = cluster.jobs().at(job_id);
+      EXPECT_NE(job.told_done, job.told_cancelled > 0) << job_id;
       (job.told_done ? done : cancelled)++;
       ends.emplace_back(job.told_done ? "done" : "cancelled");
     }
-    EXPECT_GE(world.met_ends(), 50U);
+    EXPECT_GE(cluster.met_ends(), 50U);
     EXPECT_GE(done, 10);
     EXPECT_GE(cancelled, 10);
-    for (int node = 0; node < world.nodes(); ++node) world.crash(node, 1);
-    world.run(100);
+    for (int node = 0; node < cluster.nodes(); ++node) cluster.crash(node, 1);
+    cluster.run(100);
     for (std::size_t i = 0; i < jobs.size(); ++i)
-      for (const auto& phase : phases(world, jobs[i])) EXPECT_EQ(phase, ends[i]) << jobs[i];
-    EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
+      for (const auto& phase : phases(cluster, jobs[i])) EXPECT_EQ(phase, ends[i]) << jobs[i];
+    EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
   }
 }
 
@@ -238,29 +240,29 @@
 // the leader's transaction with `done` is on its way.
 TEST_P(UsersMeeting, AWithdrawalMeetsTheStoringOfDone) {
   int met = 0;
-  World world(95, GetParam());
-  world.run(10);
-  world.submit(kept_service(1, 1));
-  world.run(30);
-  world.held_up = [&](const std::string&, const std::string& to, const std::string& body) {
+  SimulatedCluster cluster(95, GetParam());
+  cluster.run(10);
+  cluster.submit(kept_service(1, 1));
+  cluster.run(30);
+  cluster.held_up = [&](const std::string&, const std::string& to, const std::string& body) {
     if (to != "state" || body.find("\"done\"") == std::string::npos) return 0.0;
-    for (const auto& [uid, job] : world.jobs()) {
-      if (job.completed_at == 0 || job.cancel_asked || body.find(uid) == std::string::npos) continue;
+    for (const auto& [job_id, job] : cluster.jobs()) {
+      if (job.completed_at == 0 || job.cancel_asked || body.find(job_id) == std::string::npos) continue;
       ++met;
       for (int i = 0; i < 3; ++i)
-        world.at(world.now() + 0.002 * i, [&world, uid = uid] { world.cancel(uid); });
+        cluster.at(cluster.now() + 0.002 * i, [&cluster, job_id = job_id] { cluster.cancel(job_id); });
     }
-    return world.uniform(0.002, 0.06);
+    return cluster.uniform(0.002, 0.06);
   };
   for (int i = 0; i < 40; ++i)
-    world.at(world.now() + 0.5 * i, [&world] {
+    cluster.at(cluster.now() + 0.5 * i, [&cluster] {
       auto job = batch(1, 2);
-      job.spec.need.cores = 0.2;
-      world.submit(job);
+      job.spec.request.cores = 0.2;
+      cluster.submit(job);
     });
-  world.run(70);
+  cluster.run(70);
   EXPECT_GE(met, 20);
-  EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
+  EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 
 // ---- many small jobs
@@ -274,9 +276,9 @@
 }
 
 // What a controller keeps in memory: the heap that its end frees.
-double kept_bytes(World& world, int node) {
+double kept_bytes(SimulatedCluster& cluster, int node) {
   const auto before = heap_in_use();
-  world.crash(node, 0);
+  cluster.crash(node, 0);
   return static_cast<double>(before) - static_cast<double>(heap_in_use());
 }
 
@@ -285,61 +287,61 @@
 TEST_P(UsersMeeting, ManySmallJobs) {
   const char* minutes = std::getenv("BANKHILL_MINUTES");
   const double spell = 60 * (minutes != nullptr ? std::atof(minutes) : 1);
-  World world(91, GetParam());
-  world.states_kept = 100;
-  for (int node = 0; node < world.nodes(); ++node) world.crash(node, 0);
-  world.run(10);
-  const auto service = world.submit(kept_service(2, 2));
+  SimulatedCluster cluster(91, GetParam());
+  cluster.states_kept = 100;
+  for (int node = 0; node < cluster.nodes(); ++node) cluster.crash(node, 0);
+  cluster.run(10);
+  const auto service = cluster.submit(kept_service(2, 2));
   std::vector<std::string> jobs;
-  const double from = world.now();
+  const double from = cluster.now();
   for (double when = 0; when < spell; when += 0.25)
-    world.at(from + when, [&world, &jobs] {
-      auto job = batch(1, world.uniform(1, 4));
-      job.spec.need = {0.25, 0, 0.5};
-      jobs.push_back(world.submit(job));
-      const auto& uid = jobs.back();
-      if (world.chance(0.25))
-        world.at(world.now() + world.uniform(0.01, 2), [&world, uid] { world.cancel(uid); });
+    cluster.at(from + when, [&cluster, &jobs] {
+      auto job = batch(1, cluster.uniform(1, 4));
+      job.spec.request = {0.25, 0, 0.5};
+      jobs.push_back(cluster.submit(job));
+      const auto& job_id = jobs.back();
+      if (cluster.chance(0.25))
+        cluster.at(cluster.now() + cluster.uniform(0.01, 2), [&cluster, job_id] { cluster.cancel(job_id); });
     });
   // Services that come into the flow are not passed over.
-  world.at(from + spell / 2, [&world] { world.submit(kept_service(2, 3)); });
+  cluster.at(from + spell / 2, [&cluster] { cluster.submit(kept_service(2, 3)); });
   const auto cpu = [] { return static_cast<double>(std::clock()) / CLOCKS_PER_SEC; };
   double spent[2] = {0, 0};
   for (double& part : spent) {
     const double before = cpu();
-    world.run(world.now() + spell / 2);
+    cluster.run(cluster.now() + spell / 2);
     part = cpu() - before;
   }
-  world.run(world.now() + 30);
+  cluster.run(cluster.now() + 30);
   std::uint64_t puts = 0;
-  for (const auto& [second, count] : world.state_service().writes_by_second())
+  for (const auto& [second, count] : cluster.state_service().writes_by_second())
     if (second >= from && second < from + spell) puts += count;
   double slowest = 0;
   int cancelled = 0;
-  for (const auto& uid : jobs) {
-    const auto& job = world.jobs().at(uid);
-    EXPECT_TRUE(job.told_done || job.told_cancelled > 0) << uid;
+  for (const auto& job_id : jobs) {
+    const auto& job = cluster.jobs().at(job_id);
+    EXPECT_TRUE(job.told_done || job.told_cancelled > 0) << job_id;
     slowest = std::max(slowest, job.accepted_left - job.created);
     cancelled += job.told_cancelled > 0;
   }
   EXPECT_GE(cancelled, static_cast<int>(jobs.size()) / 8);
   // An answer of the state service that is lost costs its time-out once, a second.
   EXPECT_LT(slowest, 2) << "s until a job was accepted";
-  for (const auto& [uid, job] : world.jobs())
-    EXPECT_TRUE(job.spec.shape != wire::Shape::daemon || job.begun > 0) << uid << " was passed over";
-  EXPECT_EQ(world.state_service().writes_refused, 0U);
-  EXPECT_EQ(world.state_service().requests_refused, 0U);
+  for (const auto& [job_id, job] : cluster.jobs())
+    EXPECT_TRUE(job.spec.kind != wire::JobKind::service || job.begun > 0) << job_id << " was passed over";
+  EXPECT_EQ(cluster.state_service().writes_refused, 0U);
+  EXPECT_EQ(cluster.state_service().requests_refused, 0U);
   const double per_job = static_cast<double>(puts) / static_cast<double>(jobs.size());
   EXPECT_LT(per_job, 4);
-  EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
+  EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
   const bool measured = heap_is_measured();
-  const double leader = measured ? kept_bytes(world, world.leader()) : 0;
+  const double leader = measured ? kept_bytes(cluster, cluster.leader()) : 0;
   std::printf(
       "%zu jobs, %d controllers: %.2f puts each, at most %llu a second; accepted within %.3f s; %.0f kB kept "
       "by "
       "the leader, %.0f bytes a job; %.2f and %.2f s of processor time for each half\n",
       jobs.size(), GetParam(), per_job,
-      static_cast<unsigned long long>(most(world.state_service().writes_by_second(), from)), slowest,
+      static_cast<unsigned long long>(most(cluster.state_service().writes_by_second(), from)), slowest,
       leader / 1000, leader / static_cast<double>(jobs.size()), spent[0], spent[1]);
 }
 
--- a/tests/meetings_zones_test.cpp
+++ b/tests/combined_faults_zones_test.cpp
@@ -12,11 +12,11 @@
 namespace bankhill::sim {
 namespace {
 
-int on_machines(World& world, const std::string& uid, const std::string& zone = "") {
+int on_machines(SimulatedCluster& cluster, const std::string& job_id, const std::string& zone = "") {
   int count = 0;
-  for (const auto& [host, machine] : world.machines())
-    for (const auto& [member, task] : machine.tasks)
-      count += member.job.value == uid && task.phase == wire::MemberPhase::running &&
+  for (const auto& [host, machine] : cluster.machines())
+    for (const auto& [task_id, task] : machine.tasks)
+      count += task_id.job.value == job_id && task.state == wire::TaskState::running &&
                (zone.empty() || machine.zone == zone);
   return count;
 }
@@ -26,18 +26,18 @@
 // The leader's key is held by somebody who does nothing: controllers and machines are well, and nobody
 // orders.
 TEST(Checker, SeesAJobThatWaitsBesideRoom) {
-  World world(9);
-  world.run(5);
-  const auto uid = world.submit(kept_batch(2, 1, 400));
-  world.run(60);
-  ASSERT_TRUE(world.broken().empty()) << listing(world.broken());
-  ASSERT_EQ(on_machines(world, uid), 2);
-  world.tamper(wire::kLeaderKey, wire::Json::object());
-  const double lost = world.now();
-  world.run(lost + 85);
-  EXPECT_FALSE(broke_rule(world, "stranded"));
-  world.run(lost + 130);
-  EXPECT_TRUE(broke_rule(world, "stranded"));
+  SimulatedCluster cluster(9);
+  cluster.run(5);
+  const auto job_id = cluster.submit(kept_batch(2, 1, 400));
+  cluster.run(60);
+  ASSERT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
+  ASSERT_EQ(on_machines(cluster, job_id), 2);
+  cluster.tamper(wire::kLeaderKey, wire::Json::object());
+  const double lost = cluster.now();
+  cluster.run(lost + 85);
+  EXPECT_FALSE(broke_rule(cluster, "stranded"));
+  cluster.run(lost + 130);
+  EXPECT_TRUE(broke_rule(cluster, "stranded"));
 }
 
 // ---- mute machines
@@ -59,42 +59,42 @@
   const MuteCase each =
       std::array{MuteCase{0.4, ""}, MuteCase{1, "zb"}, MuteCase{1, ""}}.at(static_cast<std::size_t>(kind));
   const Timing timing = slow ? kOperators : Timing{};
-  World world(static_cast<std::uint64_t>(10 * controllers + kind), controllers, timing);
-  world.cloud().offers_large = false;
-  world.run(5);
+  SimulatedCluster cluster(static_cast<std::uint64_t>(10 * controllers + kind), controllers, timing);
+  cluster.cloud().offers_large = false;
+  cluster.run(5);
   std::vector<std::string> cancelled;
-  for (int i = 0; i < 3; ++i) cancelled.push_back(world.submit(kept_batch(4, 1, 900)));
-  const auto service = world.submit(kept_service(3, 1));
+  for (int i = 0; i < 3; ++i) cancelled.push_back(cluster.submit(kept_batch(4, 1, 900)));
+  const auto service = cluster.submit(kept_service(3, 1));
   auto in_zone = kept_batch(4, 1, 30);
-  in_zone.spec.rack_room = "zb";
-  world.submit(in_zone);
-  world.run(70);
-  ASSERT_EQ(world.whole(service), 3U);
-  const double begin = world.now();
-  world.mute_machines(each.share, 3 * timing.lease_s, each.zone);
+  in_zone.spec.zone = "zb";
+  cluster.submit(in_zone);
+  cluster.run(70);
+  ASSERT_EQ(cluster.whole(service), 3U);
+  const double begin = cluster.now();
+  cluster.mute_machines(each.share, 3 * timing.lease_s, each.zone);
   std::vector<std::string> short_ones;
   for (int i = 0; i < 12; ++i)
-    world.at(begin + 1 + i * timing.lease_s / 4,
-             [&world, &short_ones] { short_ones.push_back(world.submit(kept_batch(3, 1, 6))); });
+    cluster.at(begin + 1 + i * timing.lease_s / 4,
+               [&cluster, &short_ones] { short_ones.push_back(cluster.submit(kept_batch(3, 1, 6))); });
   // One is cancelled at once, one when leases are about to end, one when they have ended.
   const double ask[] = {1, 0.8 * timing.lease_s, 1.7 * timing.lease_s};
   for (std::size_t i = 0; i < cancelled.size(); ++i)
-    world.at(begin + ask[i], [&world, uid = cancelled[i]] { world.cancel(uid); });
-  world.run(begin + 1 + 2.5 * timing.report_s);
-  EXPECT_GT(world.jobs().at(cancelled[0]).told_cancelled, 0);
-  EXPECT_EQ(on_machines(world, cancelled[0]), 0) << "not stopped straight";
-  world.run(begin + 3 * timing.lease_s);
-  EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
-  EXPECT_EQ(world.starts_on_mute, 0U);
+    cluster.at(begin + ask[i], [&cluster, job_id = cancelled[i]] { cluster.cancel(job_id); });
+  cluster.run(begin + 1 + 2.5 * timing.heartbeat_interval_s);
+  EXPECT_GT(cluster.jobs().at(cancelled[0]).told_cancelled, 0);
+  EXPECT_EQ(on_machines(cluster, cancelled[0]), 0) << "not stopped straight";
+  cluster.run(begin + 3 * timing.lease_s);
+  EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
+  EXPECT_EQ(cluster.starts_on_mute, 0U);
   if (each.share < 1 || *each.zone != 0) {
-    EXPECT_EQ(world.whole(service), 3U);
+    EXPECT_EQ(cluster.whole(service), 3U);
   }
-  world.run(begin + 3 * timing.lease_s + 160);
-  EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
-  EXPECT_EQ(world.whole(service), 3U);
-  for (const auto& [uid, job] : world.jobs())
-    if (job.spec.shape == wire::Shape::sweep && !job.cancel_asked) {
-      EXPECT_TRUE(job.told_done) << uid;
+  cluster.run(begin + 3 * timing.lease_s + 160);
+  EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
+  EXPECT_EQ(cluster.whole(service), 3U);
+  for (const auto& [job_id, job] : cluster.jobs())
+    if (job.spec.kind == wire::JobKind::array && !job.cancel_asked) {
+      EXPECT_TRUE(job.told_done) << job_id;
     }
 }
 
@@ -103,30 +103,30 @@
 
 // ---- a zone alone
 
-void expect_all_done(World& world) {
-  EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
-  EXPECT_EQ(world.leaders(), 1);
-  for (const auto& [uid, job] : world.jobs()) {
+void expect_all_done(SimulatedCluster& cluster) {
+  EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
+  EXPECT_EQ(cluster.leaders(), 1);
+  for (const auto& [job_id, job] : cluster.jobs()) {
     if (job.cancel_asked) {
-      EXPECT_TRUE(job.told_cancelled > 0 || job.told_done) << uid << " neither cancelled nor done";
-    } else if (job.spec.shape == wire::Shape::sweep) {
-      EXPECT_TRUE(job.told_done) << uid << " " << job.completed.size() << " of " << job.spec.members;
+      EXPECT_TRUE(job.told_cancelled > 0 || job.told_done) << job_id << " neither cancelled nor done";
+    } else if (job.spec.kind == wire::JobKind::array) {
+      EXPECT_TRUE(job.told_done) << job_id << " " << job.completed.size() << " of " << job.spec.task_count;
     } else {
-      EXPECT_EQ(world.whole(uid), job.spec.members) << uid << " is not back";
+      EXPECT_EQ(cluster.whole(job_id), job.spec.task_count) << job_id << " is not back";
     }
   }
 }
 
 SimJob bound_to(const std::string& zone, SimJob job) {
-  job.spec.rack_room = zone;
+  job.spec.zone = zone;
   return job;
 }
 SimJob together(SimJob job) {
-  job.spec.together = true;
+  job.spec.zone_affinity = true;
   return job;
 }
 SimJob scattered(SimJob job) {
-  job.spec.scatter = true;
+  job.spec.zone_spread = true;
   return job;
 }
 
@@ -135,48 +135,47 @@
 class CutZone : public testing::TestWithParam<std::tuple<int, bool, bool, bool>> {};
 
 TEST_P(CutZone, WithAControllerEndsNothingTwiceAndStrandsNothing) {
-  const auto [controllers, leads, hold, slow] = GetParam();
+  const auto [controllers, leads, lease_id, slow] = GetParam();
   const Timing timing = slow ? kOperators : Timing{};
-  World world(static_cast<std::uint64_t>(20 * controllers + 4 * leads + 2 * hold + slow), controllers,
-              timing);
-  world.cloud().offers_large = false;
-  world.run(5);
+  SimulatedCluster cluster(static_cast<std::uint64_t>(20 * controllers + 4 * leads + 2 * lease_id + slow),
+                           controllers, timing);
+  cluster.cloud().offers_large = false;
+  cluster.run(5);
   std::vector<std::string> cancelled;
   for (const char* zone : {"za", "zb"})
-    cancelled.push_back(world.submit(bound_to(zone, kept_batch(3, 1, 900))));
-  cancelled.push_back(world.submit(scattered(kept_batch(4, 1, 900))));
+    cancelled.push_back(cluster.submit(bound_to(zone, kept_batch(3, 1, 900))));
+  cancelled.push_back(cluster.submit(scattered(kept_batch(4, 1, 900))));
   for (const char* zone : {"za", "zb"}) {
-    world.submit(bound_to(zone, kept_batch(4, 1, 2.2 * timing.lease_s)));
-    world.submit(bound_to(zone, kept_service(1, 1)));
+    cluster.submit(bound_to(zone, kept_batch(4, 1, 2.2 * timing.lease_s)));
+    cluster.submit(bound_to(zone, kept_service(1, 1)));
   }
-  world.submit(together(kept_batch(4, 1, 2.2 * timing.lease_s)));
-  world.submit(kept_service(2, 1));
-  world.run(70);
-  const int leader = world.leader();
+  cluster.submit(together(kept_batch(4, 1, 2.2 * timing.lease_s)));
+  cluster.submit(kept_service(2, 1));
+  cluster.run(70);
+  const int leader = cluster.leader();
   ASSERT_GE(leader, 0);
   const int inside = leads ? leader : (leader + 1) % controllers;
   const std::string zone = inside % 2 == 0 ? "za" : "zb";
-  const double begin = world.now();
+  const double begin = cluster.now();
   const double length = 2.5 * timing.lease_s;
-  world.cut_zone(zone, inside, length, hold);
+  cluster.cut_zone(zone, inside, length, lease_id);
   // Before the leases are over, when they are about to be, and after.
   const double ask[] = {0.5, 0.9 * timing.lease_s, 1.6 * timing.lease_s};
   for (std::size_t i = 0; i < cancelled.size(); ++i)
-    world.at(begin + ask[i], [&world, uid = cancelled[i]] { world.cancel(uid); });
+    cluster.at(begin + ask[i], [&cluster, job_id = cancelled[i]] { cluster.cancel(job_id); });
   for (int i = 0; i < 8; ++i)
-    world.at(begin + 2 + i * length / 8, [&world, i, zone] {
-      world.submit(i % 2 == 0 ? kept_batch(2, 1, 5) : bound_to(zone, kept_batch(2, 1, 5)));
+    cluster.at(begin + 2 + i * length / 8, [&cluster, i, zone] {
+      cluster.submit(i % 2 == 0 ? kept_batch(2, 1, 5) : bound_to(zone, kept_batch(2, 1, 5)));
     });
-  world.run(begin + length);
-  EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
+  cluster.run(begin + length);
+  EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
   // Work that may be anywhere went on outside.
   int outside = 0;
-  for (const auto& [uid, job] : world.jobs())
-    outside +=
-        job.created > begin && job.created < begin + length / 2 && !job.spec.rack_room && job.told_done;
+  for (const auto& [job_id, job] : cluster.jobs())
+    outside += job.created > begin && job.created < begin + length / 2 && !job.spec.zone && job.told_done;
   EXPECT_GE(outside, 1);
-  world.run(begin + length + 100 + 4 * timing.lease_s);
-  expect_all_done(world);
+  cluster.run(begin + length + 100 + 4 * timing.lease_s);
+  expect_all_done(cluster);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, CutZone,
@@ -191,36 +190,36 @@
 
 TEST_P(LostZone, JobsBoundToItGetOthersThere) {
   const auto [controllers, out, share] = GetParam();
-  World world(static_cast<std::uint64_t>(7 * controllers + 2 * out + static_cast<int>(4 * share)),
-              controllers);
-  world.cloud().offers_large = false;
-  world.cloud().machine_limit = 30;
-  world.run(5);
-  world.submit(bound_to("zb", kept_batch(6, 1, 40)));
-  world.submit(bound_to("zb", kept_batch(3, 3, 40)));
-  world.submit(bound_to("zb", kept_service(2, 1)));
-  world.submit(together(kept_batch(5, 2, 40)));
-  world.submit(bound_to("zb", together(kept_batch(4, 1, 40))));
-  world.submit(scattered(kept_batch(6, 1, 40)));
-  world.run(45);
-  const double begin = world.now();
-  world.kill_zone("zb", share);
-  if (out) world.zone_stockout("zb", 60);
+  SimulatedCluster cluster(
+      static_cast<std::uint64_t>(7 * controllers + 2 * out + static_cast<int>(4 * share)), controllers);
+  cluster.cloud().offers_large = false;
+  cluster.cloud().machine_limit = 30;
+  cluster.run(5);
+  cluster.submit(bound_to("zb", kept_batch(6, 1, 40)));
+  cluster.submit(bound_to("zb", kept_batch(3, 3, 40)));
+  cluster.submit(bound_to("zb", kept_service(2, 1)));
+  cluster.submit(together(kept_batch(5, 2, 40)));
+  cluster.submit(bound_to("zb", together(kept_batch(4, 1, 40))));
+  cluster.submit(scattered(kept_batch(6, 1, 40)));
+  cluster.run(45);
+  const double begin = cluster.now();
+  cluster.kill_zone("zb", share);
+  if (out) cluster.zone_stockout("zb", 60);
   // Further ones for the zone, and for any: the latter must not wait for the former.
   std::vector<std::string> any;
   for (int i = 0; i < 10; ++i)
-    world.at(begin + 1 + 4 * i, [&world, &any, i] {
+    cluster.at(begin + 1 + 4 * i, [&cluster, &any, i] {
       if (i % 2 == 0)
-        any.push_back(world.submit(kept_batch(2, 1, 5)));
+        any.push_back(cluster.submit(kept_batch(2, 1, 5)));
       else
-        world.submit(bound_to("zb", i % 4 == 1 ? kept_batch(8, 1, 10) : together(kept_batch(3, 2, 10))));
+        cluster.submit(bound_to("zb", i % 4 == 1 ? kept_batch(8, 1, 10) : together(kept_batch(3, 2, 10))));
     });
-  world.run(begin + 60);
-  for (const auto& uid : any) {
-    EXPECT_TRUE(world.jobs().at(uid).told_done) << uid << " waited for those of the zone";
+  cluster.run(begin + 60);
+  for (const auto& job_id : any) {
+    EXPECT_TRUE(cluster.jobs().at(job_id).told_done) << job_id << " waited for those of the zone";
   }
-  world.run(begin + 260);
-  expect_all_done(world);
+  cluster.run(begin + 260);
+  expect_all_done(cluster);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, LostZone,
@@ -232,7 +231,7 @@
 // of it urgent. Whatever is stopped makes room for something that begins there; nothing is stopped again and
 // again for the same class; services and urgent batches begin; the rest goes on in the end.
 struct Pressed {
-  World world;
+  SimulatedCluster world;
   std::vector<std::string> urgent;
   std::vector<std::string> rest;
   std::vector<std::string> services;
@@ -252,31 +251,31 @@
       return late && world.chance(0.5) ? world.uniform(0, slow_s) : 0.0;
     };
   }
-  void submit(std::vector<std::string>& to, SimJob job, const char* owner, wire::Rank rank) {
-    job.spec.owner = owner;
-    job.spec.rank = rank;
-    job.spec.queue = rank == wire::Rank::high ? "urgent" : "any";
+  void submit(std::vector<std::string>& to, SimJob job, const char* owner, wire::Priority priority) {
+    job.spec.team = owner;
+    job.spec.priority = priority;
+    job.spec.job_class = priority == wire::Priority::high ? "urgent" : "any";
     to.push_back(world.submit(job));
   }
   void play() {
     world.run(5);
     for (int i = 0; i < 8; ++i)
-      submit(rest, kept_batch(6, 1, 25), i % 2 == 0 ? "red" : "blue", wire::Rank::normal);
-    for (int i = 0; i < 4; ++i) submit(rest, kept_batch(20, 0.25, 25), "guest", wire::Rank::best_effort);
+      submit(rest, kept_batch(6, 1, 25), i % 2 == 0 ? "red" : "blue", wire::Priority::normal);
+    for (int i = 0; i < 4; ++i) submit(rest, kept_batch(20, 0.25, 25), "guest", wire::Priority::best_effort);
     const double begin = 50;
     for (int i = 0; i < 12; ++i)
       world.at(begin + 12 * i, [this, i] {
-        submit(urgent, kept_batch(3, 2, 5), i % 2 == 0 ? "red" : "blue", wire::Rank::high);
-        submit(rest, kept_batch(4, 1, 25), i % 2 == 0 ? "blue" : "red", wire::Rank::normal);
+        submit(urgent, kept_batch(3, 2, 5), i % 2 == 0 ? "red" : "blue", wire::Priority::high);
+        submit(rest, kept_batch(4, 1, 25), i % 2 == 0 ? "blue" : "red", wire::Priority::normal);
       });
     for (int i = 0; i < 3; ++i)
-      world.at(begin + 30 * i, [this] { submit(services, kept_service(1, 2), "red", wire::Rank::high); });
+      world.at(begin + 30 * i, [this] { submit(services, kept_service(1, 2), "red", wire::Priority::high); });
     world.run(begin + 180);
   }
   double longest_wait(const std::vector<std::string>& jobs) {
     double longest = 0;
-    for (const auto& uid : jobs) {
-      const auto& job = world.jobs().at(uid);
+    for (const auto& job_id : jobs) {
+      const auto& job = world.jobs().at(job_id);
       longest = std::max(longest, job.begun > 0 ? job.begun - job.created : 1e9);
     }
     return longest;
@@ -296,19 +295,19 @@
   quick.play();
   Pressed slow(controllers, slow_s);
   slow.play();
-  auto& world = slow.world;
+  auto& cluster = slow.world;
   const auto told = slow.told() + "; over quick links " + quick.told();
   RecordProperty("preemption", told);
-  EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
+  EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
   EXPECT_GT(quick.world.rules().made_room, 50U) << told;
   // What makes room, not the links, decides how much is stopped.
-  EXPECT_LE(world.rules().made_room, quick.world.rules().made_room * 3 / 2) << told;
-  EXPECT_LE(world.rules().made_room_again, world.rules().made_room * 6 / 10) << told;
+  EXPECT_LE(cluster.rules().made_room, quick.world.rules().made_room * 3 / 2) << told;
+  EXPECT_LE(cluster.rules().made_room_again, cluster.rules().made_room * 6 / 10) << told;
   EXPECT_LT(slow.longest_wait(slow.services), 20 + 4 * slow_s);
   EXPECT_LT(slow.longest_wait(slow.urgent), 30 + 4 * slow_s);
-  world.held_up = nullptr;
-  world.run(world.now() + 220);
-  expect_all_done(world);
+  cluster.held_up = nullptr;
+  cluster.run(cluster.now() + 220);
+  expect_all_done(cluster);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, SlowLinks,
--- a/tests/compat_test.cpp
+++ b/tests/compat_test.cpp
@@ -27,27 +27,27 @@
   std::map<std::string, int> seen;
   const auto fixtures = production();
   for (const auto& [key, data] : fixtures["records"].items()) {
-    const auto kind = key.substr(0, key.find('/', kRoot.size()) + 1);
+    const auto kind = key.substr(0, key.find('/', kKeyPrefix.size()) + 1);
     const auto name = key.substr(kind.size());
-    if (kind == kJobs) {
+    if (kind == kJobKeyPrefix) {
       const auto record = parse_job_record(data);
       EXPECT_EQ(to_json(record), data) << key;
-      EXPECT_EQ(record.spec.uid.value, name);
-      EXPECT_TRUE(record.spec.waits_on.empty());
-      ++seen[kind + name_of(record.phase)];
+      EXPECT_EQ(record.spec.id.value, name);
+      EXPECT_TRUE(record.spec.depends_on.empty());
+      ++seen[kind + name_of(record.state)];
       continue;
     }
     ++seen[kind.empty() ? key : kind];
-    if (kind == kMachines) {
+    if (kind == kMachineKeyPrefix) {
       EXPECT_EQ(to_json(parse_machine_group(name, data)), data) << key;
-    } else if (kind == kRentals) {
+    } else if (kind == kRentalKeyPrefix) {
       EXPECT_EQ(to_json(parse_rental_record(data)), data) << key;
-    } else if (kind == kFinished) {
-      EXPECT_EQ(to_json(parse_finished_bucket(name, data)), data) << key;
+    } else if (kind == kCompletionKeyPrefix) {
+      EXPECT_EQ(to_json(parse_completion_bucket(name, data)), data) << key;
     } else if (key == kCatalogueKey) {
-      const auto flavors = CatalogueReader().learn(key, data);
-      ASSERT_TRUE(flavors);
-      EXPECT_EQ(to_json(*flavors), data);
+      const auto machine_types = CatalogueReader().learn(key, data);
+      ASSERT_TRUE(machine_types);
+      EXPECT_EQ(to_json(*machine_types), data);
     } else if (key == kLeaderKey) {
       EXPECT_EQ(to_json(parse_leader_record(data)), data);
     } else {
@@ -55,8 +55,8 @@
       EXPECT_GT(count_field(data, "n"), 0U);
     }
   }
-  for (const auto& kind :
-       {kJobs + "accepted", kJobs + "done", kJobs + "cancelled", kMachines, kRentals, kFinished})
+  for (const auto& kind : {kJobKeyPrefix + "accepted", kJobKeyPrefix + "done", kJobKeyPrefix + "cancelled",
+                           kMachineKeyPrefix, kRentalKeyPrefix, kCompletionKeyPrefix})
     EXPECT_GT(seen[kind], 0) << kind;
 }
 
@@ -72,8 +72,8 @@
     EXPECT_EQ(encode(*frame), bytes);
     kinds = std::max(kinds, frame->index() + 1);
   }
-  // A frame of another kind closes its stream: those go only to siblings that understand them
-  // (Delegates.AVersionWithoutThemIsSentNoneOfTheirFrames).
+  // A frame of another kind closes its stream: those go only to peers that understand them
+  // (Forwarding controllers.AVersionWithoutThemIsSentNoneOfTheirFrames).
   EXPECT_EQ(kinds, 5U);
 }
 
@@ -103,23 +103,23 @@
 TEST(Production, ReadsTodaysJobRecords) {
   const auto fixtures = production();
   for (const auto& [key, data] : fixtures["records"].items()) {
-    if (!key.starts_with(kJobs)) continue;
+    if (!key.starts_with(kJobKeyPrefix)) continue;
     auto record = parse_job_record(data);
     read_as_production_does(to_json(record));
     for (const auto limit : {usable_bytes(8), usable_bytes(2), usable_bytes(0.5)})
-      read_as_production_does(final_json(record, JobPhase::done, 1.9e9, limit));
-    record.spec.waits_on = {{"job-1"}};
+      read_as_production_does(final_record_json(record, JobState::done, 1.9e9, limit));
+    record.spec.depends_on = {{"job-1"}};
     read_as_production_does(stored_job(record, usable_bytes(2), 8).at(0).second);
-    for (int i = 0; i < 500; ++i) record.spec.waits_on.push_back({"job-" + std::to_string(i)});
+    for (int i = 0; i < 500; ++i) record.spec.depends_on.push_back({"job-" + std::to_string(i)});
     read_as_production_does(stored_job(record, usable_bytes(2), 8).at(0).second);
   }
 }
 
 // Keys of new kinds: 0.2.0 lists them with all others and must find none of its own prefixes or names.
 TEST(Production, TakesNewKeysForNothingOfItsOwn) {
-  for (const auto& key : {waits_key({"job-1"}, 0), kCatalogueParts + "0"}) {
-    EXPECT_TRUE(key.starts_with(kRoot));
-    for (const auto& known : {kJobs, kMachines, kRentals, kFinished})
+  for (const auto& key : {dependencies_key({"job-1"}, 0), kCataloguePartKeyPrefix + "0"}) {
+    EXPECT_TRUE(key.starts_with(kKeyPrefix));
+    for (const auto& known : {kJobKeyPrefix, kMachineKeyPrefix, kRentalKeyPrefix, kCompletionKeyPrefix})
       EXPECT_FALSE(key.starts_with(known)) << key;
     for (const auto& known : {kTermKey, kLeaderKey, kCatalogueKey}) EXPECT_NE(key, known);
   }
--- a/tests/waits_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -1,5 +1,5 @@
 // The graph of waiting jobs against a plain reckoning from the records, after each step of random days.
-#include "model/waits.hpp"
+#include "model/dependency_graph.hpp"
 
 #include <gtest/gtest.h>
 
@@ -10,10 +10,10 @@
 namespace {
 
 using wire::JobId;
-using State = Waits::State;
+using State = DependencyGraph::State;
 
 struct Plain {
-  JobFact fact;
+  DependencyInfo fact;
   std::vector<JobId> needs;
   bool learned = true;  // false: its record is still to be read
 };
@@ -35,30 +35,30 @@
                        [&](const JobId& need) { return jobs.at(need).fact.state == State::done; });
   }
   bool alive(const JobId& id) const { return jobs.at(id).fact.state == State::accepted && !cancelled(id); }
-  std::pair<wire::Rank, double> best(const JobId& id) const {
+  std::pair<wire::Priority, double> best(const JobId& id) const {
     const auto& job = jobs.at(id);
-    auto result = std::pair(job.fact.rank, job.fact.due_at);
+    auto result = std::pair(job.fact.priority, job.fact.deadline_at);
     for (const auto& [other, later] : jobs) {
       if (!alive(other) || std::find(later.needs.begin(), later.needs.end(), id) == later.needs.end())
         continue;
-      const auto [rank, due] = best(other);
-      result = {std::max(result.first, rank), std::min(result.second, due - later.fact.takes_s)};
+      const auto [priority, due] = best(other);
+      result = {std::max(result.first, priority), std::min(result.second, due - later.fact.duration_s)};
     }
     return result;
   }
 };
 
-void expect_same(const Waits& waits, const Reckoning& plain) {
+void expect_same(const DependencyGraph& waits, const Reckoning& plain) {
   for (const auto& [id, job] : plain.jobs) {
     if (job.fact.state != State::accepted) continue;
     ASSERT_EQ(waits.cancelled(id), plain.cancelled(id)) << id.value;
     if (plain.cancelled(id)) continue;
-    ASSERT_EQ(waits.released(id), plain.released(id)) << id.value;
-    const auto [rank, due] = plain.best(id);
-    ASSERT_EQ(waits.rank(id, job.fact.rank), rank) << id.value;
+    ASSERT_EQ(waits.ready(id), plain.released(id)) << id.value;
+    const auto [priority, due] = plain.best(id);
+    ASSERT_EQ(waits.priority(id, job.fact.priority), priority) << id.value;
     // A job that neither waits nor is waited for is not in the graph: its own deadline stands.
     const auto goal = waits.goal(id);
-    if (std::isinf(due) || (goal.last.value.empty() && due == job.fact.due_at)) continue;
+    if (std::isinf(due) || (goal.last.value.empty() && due == job.fact.deadline_at)) continue;
     ASSERT_NEAR(goal.latest(), due, 1e-6) << id.value;
   }
 }
@@ -70,21 +70,21 @@
   const auto pick = [&](std::size_t n) {
     return std::uniform_int_distribution<std::size_t>(0, n - 1)(random);
   };
-  Waits waits;
+  DependencyGraph waits;
   Reckoning plain;
   std::vector<JobId> all;
   std::set<JobId> released;
   std::set<JobId> cancelled;
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
   for (int step = 0; step < 250; ++step) {
     if (step < 150 && (all.empty() || pick(2) == 0)) {
       const JobId id{"job-" + std::to_string(all.size())};
       Plain job;
       job.fact.state = State::accepted;
-      job.fact.stamp = wire::Stamp{++stamp};
-      job.fact.rank = static_cast<wire::Rank>(pick(4));
-      job.fact.takes_s = 1.0 + static_cast<double>(pick(50));
-      if (pick(3) == 0) job.fact.due_at = 1000.0 + static_cast<double>(pick(1000));
+      job.fact.revision = wire::KeyRevision{++revision};
+      job.fact.priority = static_cast<wire::Priority>(pick(4));
+      job.fact.duration_s = 1.0 + static_cast<double>(pick(50));
+      if (pick(3) == 0) job.fact.deadline_at = 1000.0 + static_cast<double>(pick(1000));
       std::set<JobId> needs;
       if (!all.empty())
         for (std::size_t i = pick(4); i > 0; --i)
@@ -99,12 +99,12 @@
       waits.learn(id, job.fact);
       if (!job.needs.empty())
         waits.add(id, job.fact, job.needs, false, [&](const JobId& need) {
-          return forgotten.contains(need) ? JobFact{} : plain.jobs.at(need).fact;
+          return forgotten.contains(need) ? DependencyInfo{} : plain.jobs.at(need).fact;
         });
-      for (const auto& question : waits.take_questions()) {
+      for (const auto& question : waits.take_unknown()) {
         EXPECT_TRUE(forgotten.contains(question));
-        EXPECT_TRUE(waits.in_doubt(id) || waits.cancelled(id));
-        EXPECT_FALSE(waits.released(id));
+        EXPECT_TRUE(waits.maybe_cancelled(id) || waits.cancelled(id));
+        EXPECT_FALSE(waits.ready(id));
         waits.learn(question, plain.jobs.at(question).fact);
       }
     } else {
@@ -114,12 +114,12 @@
       const bool ends = plain.released(id) && pick(3) != 0;
       if (!ends && pick(4) != 0) continue;
       job.fact.state = ends && !plain.cancelled(id) ? State::done : State::cancelled;
-      job.fact.stamp = wire::Stamp{++stamp};
+      job.fact.revision = wire::KeyRevision{++revision};
       job.fact.ended_at = step;
       waits.learn(id, job.fact);
     }
-    const auto news = waits.take_news();
-    for (const auto& id : news.released) EXPECT_TRUE(released.insert(id).second) << "told twice";
+    const auto news = waits.take_updates();
+    for (const auto& id : news.ready) EXPECT_TRUE(released.insert(id).second) << "told twice";
     for (const auto& id : news.cancelled) EXPECT_TRUE(cancelled.insert(id).second) << "told twice";
     expect_same(waits, plain);
     for (const auto& [id, job] : plain.jobs)
@@ -141,15 +141,15 @@
 // A fan of fans: each edge is walked a few times, not once for each way through it. 30 layers of 8 have 8^30
 // ways; a walk along all of them would never end.
 TEST(Waits, CostsNoMoreThanItsEdges) {
-  Waits waits;
+  DependencyGraph waits;
   std::vector<JobId> before;
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
   const auto fact = [&](double due) {
-    JobFact result;
+    DependencyInfo result;
     result.state = State::accepted;
-    result.stamp = wire::Stamp{++stamp};
-    result.takes_s = 1;
-    result.due_at = due;
+    result.revision = wire::KeyRevision{++revision};
+    result.duration_s = 1;
+    result.deadline_at = due;
     return result;
   };
   for (int layer = 0; layer < 30; ++layer) {
@@ -158,8 +158,8 @@
       these.push_back({"job-" + std::to_string(layer * 8 + i)});
       if (layer > 0)
         waits.add(these.back(), fact(INFINITY), before, false, [&](const JobId&) {
-          JobFact first = fact(INFINITY);
-          first.stamp = wire::Stamp{0};
+          DependencyInfo first = fact(INFINITY);
+          first.revision = wire::KeyRevision{0};
           return first;
         });
     }
@@ -168,11 +168,11 @@
   waits.add({"job-999"}, fact(500), before, false, [&](const JobId&) { return fact(INFINITY); });
   EXPECT_DOUBLE_EQ(waits.goal({"job-0"}).latest(), 500 - 30);
   EXPECT_EQ(waits.goal({"job-0"}).last.value, "job-999");
-  JobFact over = fact(INFINITY);
+  DependencyInfo over = fact(INFINITY);
   over.state = State::cancelled;
   waits.learn({"job-0"}, over);
   EXPECT_TRUE(waits.cancelled({"job-999"}));
-  EXPECT_EQ(waits.take_news().cancelled.size(), 29U * 8 + 1);
+  EXPECT_EQ(waits.take_updates().cancelled.size(), 29U * 8 + 1);
 }
 
 }  // namespace
--- a/tests/errors_test.cpp
+++ b/tests/errors_test.cpp
@@ -51,7 +51,7 @@
   EXPECT_EQ(tier.field(), "tier");
   EXPECT_EQ(tier.problem(), "is none");
   EXPECT_STREQ(tier.what(), "field 'tier' is none");
-  EXPECT_THROW(wire::parse_job(Json::object()), wire::Malformed) << "is one of these too";
+  EXPECT_THROW(wire::parse_job(Json::object()), wire::ProtocolError) << "is one of these too";
 }
 
 TEST(Errors, FieldOfThePlatformsFile) {
@@ -76,7 +76,7 @@
   const auto budget = with("/params/workers/cancel_s", 44);
   EXPECT_EQ(budget.field(), "cancel_s");
   EXPECT_TRUE(budget.problem().starts_with("leaves too little beyond 'lease_s': ")) << budget.problem();
-  EXPECT_THROW(app::parse_settings("{"), app::BadSettings);
+  EXPECT_THROW(app::parse_settings("{"), app::SettingsError);
 }
 
 TEST(Errors, KeyOfTheOperatorsFile) {
@@ -99,7 +99,7 @@
     EXPECT_EQ(error.problem(), OperatorKeyError::Problem::out_of_range);
     EXPECT_EQ(error.what(), std::string("operator settings: '") + key + "' is out of range");
   }
-  const auto shares = thrown_by<app::BadSettings>(
+  const auto shares = thrown_by<app::SettingsError>(
       [] { app::parse_operator_settings("worker_sockets: 0.6\nuser_sockets: 0.2\ndirect_sockets: 0.2\n"); });
   EXPECT_STREQ(
       shares.what(),
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -1,8 +1,9 @@
-// How long a machine may be silent (model/silence.hpp).
+// How long a machine may be silent (model/failure_detector.hpp).
+#include "model/failure_detector.hpp"
+
 #include <gtest/gtest.h>
 
-#include "model/cancel_budget.hpp"
-#include "model/silence.hpp"
+#include "model/cancellation_bound.hpp"
 
 namespace bankhill::model {
 namespace {
@@ -20,68 +21,70 @@
 }
 
 TEST(FailureDetector, LimitsOfAMachineWithoutServices) {
-  const auto limits = Silence(timing(3)).limits({});
-  EXPECT_NEAR(limits.ask, 5.1, kSlack);  // the latest heartbeat, 3.75 s, and a part of the control interval
-  EXPECT_NEAR(limits.quiet, 5.1, kSlack);
-  EXPECT_NEAR(limits.again, 3, kSlack);
-  EXPECT_NEAR(limits.gone, 9, kSlack);
+  const auto limits = FailureDetector(timing(3)).thresholds({});
+  EXPECT_NEAR(limits.probe_after_s, 5.1,
+              kSlack);  // the latest heartbeat, 3.75 s, and a part of the control interval
+  EXPECT_NEAR(limits.overdue_after_s, 5.1, kSlack);
+  EXPECT_NEAR(limits.probe_again_after_s, 3, kSlack);
+  EXPECT_NEAR(limits.dead_after_s, 9, kSlack);
 }
 
 TEST(FailureDetector, MachinesWithServicesAreMissedSooner) {
-  const Silence detector(timing(3));
-  const auto limits = detector.limits({true, true, false});
-  EXPECT_NEAR(limits.ask, 1.5, kSlack);  // between two heartbeats
-  EXPECT_NEAR(limits.again, 3, kSlack);
-  EXPECT_NEAR(limits.gone, 6, kSlack);
-  EXPECT_NEAR(limits.quiet, 5.1, kSlack);
-  EXPECT_NEAR(detector.limits({true, true, true}).again, 2.25, kSlack);
-  EXPECT_NEAR(detector.limits({false, true, true}).again, 3, kSlack);
+  const FailureDetector detector(timing(3));
+  const auto limits = detector.thresholds({true, true, false});
+  EXPECT_NEAR(limits.probe_after_s, 1.5, kSlack);  // between two heartbeats
+  EXPECT_NEAR(limits.probe_again_after_s, 3, kSlack);
+  EXPECT_NEAR(limits.dead_after_s, 6, kSlack);
+  EXPECT_NEAR(limits.overdue_after_s, 5.1, kSlack);
+  EXPECT_NEAR(detector.thresholds({true, true, true}).probe_again_after_s, 2.25, kSlack);
+  EXPECT_NEAR(detector.thresholds({false, true, true}).probe_again_after_s, 3, kSlack);
 }
 
 // A worker that lost a response gives it up after its wait and then tries the next controller.
 TEST(FailureDetector, OneLostResponseGivesNoMachineUp) {
   auto slow_responses = timing(3);
   slow_responses.response_wait_s = 20;
-  const auto limits = Silence(slow_responses).limits({});
-  EXPECT_NEAR(limits.gone, 22, kSlack);
-  EXPECT_NEAR(limits.ask, 5.1, kSlack);
+  const auto limits = FailureDetector(slow_responses).thresholds({});
+  EXPECT_NEAR(limits.dead_after_s, 22, kSlack);
+  EXPECT_NEAR(limits.probe_after_s, 5.1, kSlack);
 }
 
 // It goes from one controller to the next, and may be silent for a whole round without being gone.
 TEST(FailureDetector, AMachineWithALostDownlinkIsWaitedForARoundOfControllers) {
-  EXPECT_NEAR(Silence(timing(3)).limits({false, false, false}).gone, 18, kSlack);
-  EXPECT_NEAR(Silence(timing(3)).limits({false, false, false}).ask, 18, kSlack);
-  EXPECT_NEAR(Silence(timing(5)).limits({true, false, false}).gone, 28, kSlack);
-  EXPECT_NEAR(Silence(timing(50)).limits({false, false, false}).gone, 40, kSlack);  // a lease at most
+  EXPECT_NEAR(FailureDetector(timing(3)).thresholds({false, false, false}).dead_after_s, 18, kSlack);
+  EXPECT_NEAR(FailureDetector(timing(3)).thresholds({false, false, false}).probe_after_s, 18, kSlack);
+  EXPECT_NEAR(FailureDetector(timing(5)).thresholds({true, false, false}).dead_after_s, 28, kSlack);
+  EXPECT_NEAR(FailureDetector(timing(50)).thresholds({false, false, false}).dead_after_s, 40,
+              kSlack);  // a lease at most
 }
 
 TEST(FailureDetector, HeartbeatsAreOverdueAfterARoundOfControllers) {
-  const Silence detector(timing(3));
-  EXPECT_EQ(detector.reporting(18), Reporting::comes);
-  EXPECT_EQ(detector.reporting(18 + kSlack), Reporting::overdue);
+  const FailureDetector detector(timing(3));
+  EXPECT_EQ(detector.uplink_state(18), UplinkState::up);
+  EXPECT_EQ(detector.uplink_state(18 + kSlack), UplinkState::overdue);
 }
 
 TEST(FailureDetector, HeartbeatsAreOverdueAfterOneLostResponseAtTheEarliest) {
-  const Silence detector(timing(1));
-  EXPECT_EQ(detector.reporting(9.75), Reporting::comes);
-  EXPECT_EQ(detector.reporting(9.75 + kSlack), Reporting::overdue);
+  const FailureDetector detector(timing(1));
+  EXPECT_EQ(detector.uplink_state(9.75), UplinkState::up);
+  EXPECT_EQ(detector.uplink_state(9.75 + kSlack), UplinkState::overdue);
 }
 
 TEST(FailureDetector, HeartbeatsAreOverdueWhileHalfALeaseIsLeft) {
-  const Silence detector(timing(50));
-  EXPECT_EQ(detector.reporting(20), Reporting::comes);
-  EXPECT_EQ(detector.reporting(20 + kSlack), Reporting::overdue);
+  const FailureDetector detector(timing(50));
+  EXPECT_EQ(detector.uplink_state(20), UplinkState::up);
+  EXPECT_EQ(detector.uplink_state(20 + kSlack), UplinkState::overdue);
 }
 
 TEST(FailureDetector, HeartbeatsAreAbsentOnceTheLeaseIsSurelyOver) {
-  const Silence detector(timing(3));
+  const FailureDetector detector(timing(3));
   const double over_s = 40 * kDriftAllowance + kAllowanceS;
-  EXPECT_EQ(detector.reporting(over_s), Reporting::overdue);
-  EXPECT_EQ(detector.reporting(over_s + kSlack), Reporting::absent);
+  EXPECT_EQ(detector.uplink_state(over_s), UplinkState::overdue);
+  EXPECT_EQ(detector.uplink_state(over_s + kSlack), UplinkState::lost);
 }
 
 TEST(FailureDetector, AMachineWithoutHeartbeatsIsReturnedAfterTwoLeases) {
-  const Silence detector(timing(3));
+  const FailureDetector detector(timing(3));
   EXPECT_FALSE(detector.give_up(79));
   EXPECT_FALSE(detector.give_up(80));
   EXPECT_TRUE(detector.give_up(80 + kSlack));
--- a/tests/shares_test.cpp
+++ b/tests/fair_share_test.cpp
@@ -1,20 +1,20 @@
-// Limits and shares: order in overload, team bounds across reigns, those turned away.
+// Limits and shares: order in overload, team bounds across terms, those turned away.
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <limits>
 #include <random>
 
-#include "shares/bounds.hpp"
-#include "shares/overload.hpp"
-#include "shares/turned_away.hpp"
-#include "shares/turns.hpp"
+#include "fair_share/fair_share_order.hpp"
+#include "fair_share/overload_detector.hpp"
+#include "fair_share/quota_high_water.hpp"
+#include "fair_share/retry_after_pacer.hpp"
 
-namespace bankhill::shares {
+namespace bankhill::fair_share {
 namespace {
 
 TEST(OverloadTest, BeginsAndEndsOnceItHasLasted) {
-  Overload overload({10, 0.25, 0.1});
+  OverloadDetector overload({10, 0.25, 0.1});
   for (double now = 0; now < 100; now += 1) {
     // Now and then more is wanted than there is, never for as long as ten seconds.
     EXPECT_FALSE(overload.observe(now, 100, static_cast<int>(now) % 9 == 0 ? 20 : 60)) << now;
@@ -33,11 +33,11 @@
 
 TEST(TurnsTest, WhatIsInTimeGoesFirstThenWhatIsNearestToItsEnd) {
   const Party party{"red", "night"};
-  const auto order = turns({{party, 10, 500, true, 1},
-                            {party, 10, 900, false, 2},
-                            {party, 10, 40, true, 3},
-                            {party, 10, 300, false, 4}},
-                           {}, {{"red", 10}}, 0.25);
+  const auto order = fair_share_order({{party, 10, 500, true, 1},
+                                       {party, 10, 900, false, 2},
+                                       {party, 10, 40, true, 3},
+                                       {party, 10, 300, false, 4}},
+                                      {}, {{"red", 10}}, 0.25);
   EXPECT_LT(order[3], order[1]);
   EXPECT_LT(order[1], order[2]);
   EXPECT_LT(order[2], order[0]);
@@ -76,7 +76,7 @@
         if (task.first <= now) held[{task.second, false}] -= 1;
         return task.first <= now;
       });
-      const auto order = turns(waiting, held, weights, 0.25);
+      const auto order = fair_share_order(waiting, held, weights, 0.25);
       std::vector<std::size_t> next(waiting.size());
       for (std::size_t i = 0; i < next.size(); ++i) next[i] = i;
       std::sort(next.begin(), next.end(), [&](auto a, auto b) { return order[a] < order[b]; });
@@ -110,7 +110,7 @@
     constexpr int kControllers = 5;
     constexpr double kRate = 35;
     constexpr int kCrowd = 800;
-    std::vector<TurnedAway> doors(kControllers, TurnedAway({kRate / kControllers}));
+    std::vector<RetryAfterPacer> doors(kControllers, RetryAfterPacer({kRate / kControllers}));
     std::multimap<double, std::string> coming;
     for (int i = 0; i < kCrowd; ++i) coming.emplace(chance(random), "job-" + std::to_string(i));
     double tokens = kRate;
@@ -129,7 +129,7 @@
       }
       ++in_vain;
       auto& door = doors[static_cast<std::size_t>(chance(random) * kControllers)];
-      const double wait = door.come_back_s(now, name, chance(random));
+      const double wait = door.retry_after_s(now, name, chance(random));
       EXPECT_GE(wait, 1);
       EXPECT_LE(wait, 30);
       coming.emplace(now + wait, name);
@@ -140,31 +140,31 @@
   }
 }
 
-wire::Amounts cores(double count) { return {count, 0, 0}; }
+wire::Resources cores(double count) { return {count, 0, 0}; }
 constexpr double kNone = std::numeric_limits<double>::infinity();
 
 TEST(BoundsTest, OnlyTheRecordOfTheTermBeforeIsBelieved) {
-  Bounds bounds({{"red", {80, kNone, 0}}}, 8);
-  const wire::BoundsRecord record{6, {{"red", {20, kNone, 0}}}};
-  bounds.begin(record, 7);
+  QuotaHighWater bounds({{"red", {80, kNone, 0}}}, 8);
+  const wire::QuotaRecord record{6, {{"red", {20, kNone, 0}}}};
+  bounds.begin_term(record, 7);
   EXPECT_TRUE(bounds.believed());
   EXPECT_EQ(bounds.unseen("red", cores(1000)).cores, 20);
   bounds.seen("red", cores(15));
   EXPECT_EQ(bounds.unseen("red", cores(1000)).cores, 5);
   EXPECT_EQ(bounds.unseen("red", cores(2)).cores, 2);
   // Another leader came in between, perhaps one that knows of no bounds: anything up to the limit may run.
-  bounds.begin(record, 8);
+  bounds.begin_term(record, 8);
   EXPECT_FALSE(bounds.believed());
   EXPECT_EQ(bounds.unseen("red", cores(1000)).cores, 80);
-  bounds.begin(std::nullopt, 9);
+  bounds.begin_term(std::nullopt, 9);
   EXPECT_EQ(bounds.unseen("red", cores(1000)).cores, 80);
   EXPECT_EQ(bounds.unseen("no limit", cores(1000)).cores, 0);
 }
 
-// Operators lower a limit, or give a team one that had none, between two reigns.
+// Operators lower a limit, or give a team one that had none, between two terms.
 TEST(BoundsTest, ALimitThatWasLoweredHidesNothing) {
-  Bounds bounds({{"red", {24, kNone, 0}}, {"blue", {24, kNone, 0}}}, 8);
-  bounds.begin(wire::BoundsRecord{6, {{"red", {40, kNone, 0}}}}, 7);
+  QuotaHighWater bounds({{"red", {24, kNone, 0}}, {"blue", {24, kNone, 0}}}, 8);
+  bounds.begin_term(wire::QuotaRecord{6, {{"red", {40, kNone, 0}}}}, 7);
   ASSERT_TRUE(bounds.believed());
   bounds.seen("red", cores(30));
   EXPECT_EQ(bounds.unseen("red", cores(1000)).cores, 10);
@@ -172,8 +172,8 @@
 }
 
 TEST(BoundsTest, ATaskLargerThanAStepIsCoveredInTheEnd) {
-  Bounds bounds({{"red", {8, kNone, 0}}}, 8);
-  bounds.begin(std::nullopt, 1);
+  QuotaHighWater bounds({{"red", {8, kNone, 0}}}, 8);
+  bounds.begin_term(std::nullopt, 1);
   ASSERT_TRUE(bounds.next({}, 1, false));
   bounds.written();
   EXPECT_FALSE(bounds.covers("red", cores(4), 1));
@@ -200,18 +200,18 @@
       int machine = 0;
     };
     std::vector<Task> tasks;  // that run
-    std::optional<wire::BoundsRecord> stored;
+    std::optional<wire::QuotaRecord> stored;
     std::uint64_t term = 0;
-    for (int reign = 0; reign < 12; ++reign) {
+    for (int round = 0; round < 12; ++round) {
       ++term;
-      Bounds bounds({{"red", {kLimit, kNone, 0}}}, 1 + below(10));
-      bounds.begin(stored, term);
+      QuotaHighWater bounds({{"red", {kLimit, kNone, 0}}}, 1 + below(10));
+      bounds.begin_term(stored, term);
       believed += bounds.believed() ? 1 : 0;
       const bool knows = below(4) > 0;
       std::set<int> unheard{0, 1, 2, 3};
       constexpr double kMachine = 16;
       std::vector<Task> known;
-      std::optional<wire::BoundsRecord> on_its_way;
+      std::optional<wire::QuotaRecord> on_its_way;
       const auto use = [&] {
         double sum = 0;
         for (const auto& task : known) sum += task.need;
@@ -257,9 +257,9 @@
         }
         double runs = 0;
         for (const auto& task : tasks) runs += task.need;
-        ASSERT_LE(runs, kLimit) << "seed " << seed << ", reign " << reign;
+        ASSERT_LE(runs, kLimit) << "seed " << seed << ", round " << round;
         if (stored && stored->term == term) {
-          ASSERT_LE(runs, stored->teams.at("red").cores + 1e-6) << "seed " << seed << ", reign " << reign;
+          ASSERT_LE(runs, stored->teams.at("red").cores + 1e-6) << "seed " << seed << ", round " << round;
         }
       }
       if (on_its_way && below(2) == 0) stored = on_its_way;  // before the next leader wins
@@ -270,12 +270,12 @@
 }
 
 TEST(BoundsTest, RecordsAreReadAsTheyWereWritten) {
-  const wire::BoundsRecord record{9, {{"red", {20, kNone, 0}}, {"blue", {0, 4, 0}}}};
-  EXPECT_EQ(wire::parse_bounds_record(wire::to_json(record)), record);
-  EXPECT_THROW(wire::parse_bounds_record(wire::Json{{"term", 9}}), wire::Malformed);
-  EXPECT_THROW(wire::parse_bounds_record(wire::Json{{"term", 9}, {"teams", {{"red", {{"cores", -1}}}}}}),
-               wire::Malformed);
+  const wire::QuotaRecord record{9, {{"red", {20, kNone, 0}}, {"blue", {0, 4, 0}}}};
+  EXPECT_EQ(wire::parse_quota_record(wire::to_json(record)), record);
+  EXPECT_THROW(wire::parse_quota_record(wire::Json{{"term", 9}}), wire::ProtocolError);
+  EXPECT_THROW(wire::parse_quota_record(wire::Json{{"term", 9}, {"teams", {{"red", {{"cores", -1}}}}}}),
+               wire::ProtocolError);
 }
 
 }  // namespace
-}  // namespace bankhill::shares
+}  // namespace bankhill::fair_share
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -8,12 +8,12 @@
 namespace bankhill::model {
 namespace {
 
-wire::JobSpec spec(double cores, const std::string& bundle) {
+wire::JobSpec spec(double cores, const std::string& image) {
   wire::JobSpec result;
-  result.uid = {"job-000001"};
-  result.need = {cores, 0, 2 * cores};
-  result.bundle = bundle;
-  result.reclaimable = true;
+  result.id = {"job-000001"};
+  result.request = {cores, 0, 2 * cores};
+  result.image = image;
+  result.allows_preemptible = true;
   return result;
 }
 
@@ -27,16 +27,17 @@
           false};
 }
 
-void make_ready(Fleet& fleet, Machine& machine, const std::string& flavor, double cores, bool reclaimable) {
-  machine.flavor = flavor;
-  machine.rack_room = "a";
-  machine.reclaimable = reclaimable;
-  machine.size = {cores, 0, 4 * cores};
+void make_ready(Fleet& fleet, Machine& machine, const std::string& machine_type, double cores,
+                bool reclaimable) {
+  machine.machine_type = machine_type;
+  machine.zone = "a";
+  machine.preemptible = reclaimable;
+  machine.capacity = {cores, 0, 4 * cores};
   machine.up = machine.recorded = machine.confirmed = true;
   fleet.refresh(machine);
 }
 
-wire::HostId host(int number) { return {"n-" + std::to_string(100000 + number)}; }
+wire::MachineId host(int number) { return {"n-" + std::to_string(100000 + number)}; }
 
 TEST(Fleet, IndexesAndSumsAreThoseOfAScanAfterAnyChange) {
   std::mt19937 random(5);
@@ -53,40 +54,43 @@
     } else if (random() % 4 == 0) {
       fleet.add_image(*machine, bundles[random() % 3]);
     } else {
-      bool* flags[] = {&machine->up,        &machine->confirmed, &machine->draining, &machine->quiet,
-                       &machine->releasing, &machine->lost,      &machine->late,     &machine->inherited};
+      bool* flags[] = {&machine->up,           &machine->confirmed,   &machine->draining,
+                       &machine->overdue,      &machine->terminating, &machine->lease_expired,
+                       &machine->boot_overdue, &machine->inherited};
       auto& flag = *flags[random() % 8];
       flag = random() % 3 == 0 ? !flag : flag;
-      machine->used.cores = static_cast<double>(random() % (1 + static_cast<unsigned>(machine->size.cores)));
+      machine->used.cores =
+          static_cast<double>(random() % (1 + static_cast<unsigned>(machine->capacity.cores)));
       fleet.refresh(*machine);
     }
-    Sums sums;
+    FleetTotals sums;
     double best_room = 1e9;
     double best_fetch = 1e9;
     const auto job = spec(2, bundles[random() % 3]);
     for (auto& [name, there] : fleet) {
-      const bool stays = !there.draining && !there.releasing;
+      const bool stays = !there.draining && !there.terminating;
       sums.up += there.up ? 1 : 0;
-      sums.quiet += there.up && there.quiet ? 1 : 0;
+      sums.overdue += there.up && there.overdue ? 1 : 0;
       sums.unconfirmed += there.inherited && !there.confirmed ? 1 : 0;
-      sums.cores += stays && (there.up || !there.late) ? there.size.cores : 0;
-      if (!there.takes_tasks() || there.quiet || there.reclaimable || !job.need.fits(there.room())) continue;
-      const double fetch = there.images.contains(job.bundle) ? 0 : 2;
-      if (std::pair(fetch, there.room().cores) < std::pair(best_fetch, best_room)) {
+      sums.cores += stays && (there.up || !there.boot_overdue) ? there.capacity.cores : 0;
+      if (!there.takes_tasks() || there.overdue || there.preemptible || !job.request.fits(there.available()))
+        continue;
+      const double fetch = there.images.contains(job.image) ? 0 : 2;
+      if (std::pair(fetch, there.available().cores) < std::pair(best_fetch, best_room)) {
         best_fetch = fetch;
-        best_room = there.room().cores;
+        best_room = there.available().cores;
       }
     }
     ASSERT_EQ(fleet.total().up, sums.up);
-    ASSERT_EQ(fleet.total().quiet, sums.quiet);
+    ASSERT_EQ(fleet.total().overdue, sums.overdue);
     ASSERT_EQ(fleet.total().unconfirmed, sums.unconfirmed);
     ASSERT_DOUBLE_EQ(fleet.total().cores, sums.cores);
     auto wish = choice(job, false);
     const auto* picked = fleet.pick(wish);
     ASSERT_EQ(picked != nullptr, best_room < 1e9);
     if (picked == nullptr) continue;
-    ASSERT_EQ(picked->images.contains(job.bundle) ? 0 : 2, best_fetch);
-    ASSERT_DOUBLE_EQ(picked->room().cores, best_room);
+    ASSERT_EQ(picked->images.contains(job.image) ? 0 : 2, best_fetch);
+    ASSERT_DOUBLE_EQ(picked->available().cores, best_room);
   }
 }
 
@@ -108,9 +112,9 @@
       auto wish = choice(job, reclaimable);
       auto* machine = fleet.pick(wish);
       if (machine == nullptr) continue;
-      machine->used.cores += job.need.cores;
+      machine->used.cores += job.request.cores;
       fleet.refresh(*machine);
-      placed.emplace_back(machine, job.need.cores);
+      placed.emplace_back(machine, job.request.cores);
       break;
     }
     if (random() % 10 < 6 && !placed.empty()) {
@@ -133,8 +137,8 @@
 TEST(Fleet, VisitsEveryMachineInItsTurn) {
   Fleet fleet;
   for (int i = 0; i < 10; ++i) make_ready(fleet, *fleet.add(host(i)).first, "small", 4, false);
-  std::map<wire::HostId, int> seen;
-  for (int round = 0; round < 8; ++round) fleet.visit(0.25, [&](Machine& machine) { ++seen[machine.host]; });
+  std::map<wire::MachineId, int> seen;
+  for (int round = 0; round < 8; ++round) fleet.visit(0.25, [&](Machine& machine) { ++seen[machine.id]; });
   EXPECT_EQ(seen.size(), 10U);
   for (const auto& [name, times] : seen) EXPECT_GE(times, 2) << name.value;
 }
--- a/tests/replica_days.cpp
+++ b/tests/gang_days.cpp
@@ -5,12 +5,12 @@
 #include <cstdlib>
 #include <vector>
 
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace {
 
 using bankhill::sim::SimJob;
-using bankhill::sim::World;
+using bankhill::sim::SimulatedCluster;
 
 constexpr std::uint32_t kSpan = 4;
 constexpr double kWarmUpS = 90;
@@ -25,62 +25,63 @@
 };
 
 Day run(std::uint64_t seed, std::uint32_t replicas, double every_s, bool as_one, double length_s) {
-  World world(seed, 3);
-  world.spans["serve"] = kSpan;
-  world.spanning = as_one;
-  world.cloud().offers_large = false;  // a member takes a machine either way
-  world.cloud().machine_limit = static_cast<int>(replicas * kSpan * 4 / 3);
-  for (int node = 0; node < world.nodes(); ++node) world.crash(node, 0);
-  world.run(5);
+  SimulatedCluster cluster(seed, 3);
+  cluster.spans["serve"] = kSpan;
+  cluster.spanning = as_one;
+  cluster.cloud().offers_large = false;  // a member takes a machine either way
+  cluster.cloud().machine_limit = static_cast<int>(replicas * kSpan * 4 / 3);
+  for (int node = 0; node < cluster.nodes(); ++node) cluster.crash(node, 0);
+  cluster.run(5);
   SimJob job;
-  job.spec.queue = "serve";
-  job.spec.owner = "guest";  // no limit
-  job.spec.shape = bankhill::wire::Shape::daemon;
-  job.spec.rank = bankhill::wire::Rank::production;
-  job.spec.members = replicas * kSpan;
-  job.spec.need = {3, 0, 2};
-  job.spec.flavors = std::vector<std::string>{"small"};
-  job.spec.bundle = "weights";
-  job.spec.size_gb = 1;
+  job.spec.job_class = "serve";
+  job.spec.team = "guest";  // no limit
+  job.spec.kind = bankhill::wire::JobKind::service;
+  job.spec.priority = bankhill::wire::Priority::production;
+  job.spec.task_count = replicas * kSpan;
+  job.spec.request = {3, 0, 2};
+  job.spec.machine_types = std::vector<std::string>{"small"};
+  job.spec.image = "weights";
+  job.spec.image_size_gb = 1;
   job.kept = true;
-  const auto uid = world.submit(job);
-  world.run(kWarmUpS);
+  const auto job_id = cluster.submit(job);
+  cluster.run(kWarmUpS);
   Day day;
   std::vector<double> down(replicas, -1);
   double steps = 0;
-  double next_death = world.now();
+  double next_death = cluster.now();
   // Deaths come from a clock of their own, so that both ways see as many.
   std::mt19937_64 random(seed);
-  while (world.now() < kWarmUpS + length_s) {
-    if (every_s > 0 && world.now() >= next_death) {
+  while (cluster.now() < kWarmUpS + length_s) {
+    if (every_s > 0 && cluster.now() >= next_death) {
       next_death += every_s;
       std::vector<bankhill::sim::SimMachine*> busy;
-      for (auto& [host, machine] : world.machines())
+      for (auto& [host, machine] : cluster.machines())
         if (machine.up && !machine.dead && !machine.tasks.empty()) busy.push_back(&machine);
       if (!busy.empty()) busy[random() % busy.size()]->dead = true;
     }
-    world.run(world.now() + kStepS);
+    cluster.run(cluster.now() + kStepS);
     ++steps;
-    for (const auto& [host, machine] : world.machines()) day.machines += machine.up && !machine.dead ? 1 : 0;
+    for (const auto& [host, machine] : cluster.machines())
+      day.machines += machine.up && !machine.dead ? 1 : 0;
     std::vector<std::size_t> there(replicas, 0);
-    for (const auto& [host, machine] : world.machines())
-      for (const auto& [member, task] : machine.tasks)
-        if (machine.on(member, world.now(), 20)) ++there[member.index / kSpan];
+    for (const auto& [host, machine] : cluster.machines())
+      for (const auto& [task_id, task] : machine.tasks)
+        if (machine.on(task_id, cluster.now(), 20)) ++there[task_id.index / kSpan];
     for (std::uint32_t i = 0; i < replicas; ++i) {
       if (there[i] == kSpan) {
         day.whole += 1;
-        if (down[i] >= 0) day.repairs.push_back(world.now() - down[i]);
+        if (down[i] >= 0) day.repairs.push_back(cluster.now() - down[i]);
         down[i] = -1;
       } else {
         day.held += static_cast<double>(there[i]);
-        if (down[i] < 0) down[i] = world.now();
+        if (down[i] < 0) down[i] = cluster.now();
       }
     }
   }
   day.whole /= steps * replicas;
   day.held /= steps;
   day.machines /= steps;
-  day.broken = world.broken().size();
+  day.broken = cluster.broken().size();
   std::sort(day.repairs.begin(), day.repairs.end());
   return day;
 }
--- a/tests/replicas_test.cpp
+++ b/tests/gang_test.cpp
@@ -3,105 +3,105 @@
 
 #include <random>
 
-#include "replicas/placer.hpp"
+#include "gang/gang_scheduler.hpp"
 
-namespace bankhill::replicas {
+namespace bankhill::gang {
 namespace {
 
 constexpr double kWait = 20;
 constexpr std::uint32_t kSpan = 3;
 
-wire::JobSpec service(const std::string& uid, std::uint32_t members, double cores) {
+wire::JobSpec service(const std::string& job_id, std::uint32_t members, double cores) {
   wire::JobSpec spec;
-  spec.uid = {uid};
-  spec.shape = wire::Shape::daemon;
-  spec.members = members;
-  spec.need = {cores, 0, cores};
-  spec.bundle = uid;
+  spec.id = {job_id};
+  spec.kind = wire::JobKind::service;
+  spec.task_count = members;
+  spec.request = {cores, 0, cores};
+  spec.image = job_id;
   return spec;
 }
 
-wire::HostId host(int number) { return {"n-" + std::to_string(100 + number)}; }
+wire::MachineId host(int number) { return {"n-" + std::to_string(100 + number)}; }
 
 model::Machine& add_machine(model::Fleet& fleet, int number, const std::string& zone, double cores) {
   auto& machine = *fleet.add(host(number)).first;
-  machine.flavor = "big";
-  machine.rack_room = zone;
-  machine.size = {cores, 0, 4 * cores};
+  machine.machine_type = "big";
+  machine.zone = zone;
+  machine.capacity = {cores, 0, 4 * cores};
   machine.up = machine.recorded = machine.confirmed = true;
   fleet.refresh(machine);
   return machine;
 }
 
-Site site_of(const wire::JobSpec& spec) {
+GangConstraints site_of(const wire::JobSpec& spec) {
   return {spec,
           "a",
           [](const model::Pool&) { return 2.0; },
           [](const model::Machine&) { return true; },
           [](std::uint32_t, const std::string&) { return true; },
-          [](std::uint32_t, const wire::HostId&) { return false; }};
+          [](std::uint32_t, const wire::MachineId&) { return false; }};
 }
 
 // What a leader does with the placer's words, and machines that do as they are told.
 struct Model {
-  explicit Model(Board::Settings settings = {kWait, 4, 30, 0.25, 8}) : placer(settings) {}
+  explicit Model(GangTracker::Settings settings = {kWait, 4, 30, 0.25, 8}) : placer(settings) {}
 
   void add(const wire::JobSpec& spec, std::uint32_t span = kSpan) {
-    jobs[spec.uid] = spec;
+    jobs[spec.id] = spec;
     placer.follow(spec, span, 0);
   }
-  void bind(const wire::MemberId& member, const wire::HostId& at) {
+  void bind(const wire::TaskId& task_id, const wire::MachineId& at) {
     auto& machine = *fleet.find(at);
-    ASSERT_TRUE(where.emplace(member, at).second) << member.text() << " is started twice";
-    machine.used += jobs.at(member.job).need;
-    EXPECT_LE(machine.used.cores, machine.size.cores) << at.value;
+    ASSERT_TRUE(where.emplace(task_id, at).second) << task_id.text() << " is started twice";
+    machine.used += jobs.at(task_id.job).request;
+    EXPECT_LE(machine.used.cores, machine.capacity.cores) << at.value;
     fleet.refresh(machine);
   }
-  void unbind(const wire::MemberId& member) {
-    const auto found = where.find(member);
+  void unbind(const wire::TaskId& task_id) {
+    const auto found = where.find(task_id);
     if (found == where.end()) return;
     if (auto* machine = fleet.find(found->second)) {
-      machine->used -= jobs.at(member.job).need;
+      machine->used -= jobs.at(task_id.job).request;
       fleet.refresh(*machine);
     }
     where.erase(found);
-    stopping.erase(member);
-    placer.board().gone(member, now);
+    stopping.erase(task_id);
+    placer.tracker().gone(task_id, now);
   }
   void act() {
-    placer.board().pass(now, [this](const wire::JobId&) { return settled; });
-    for (const auto& action : placer.act(fleet)) stopping.insert({action.replica.first, action.member});
+    placer.tracker().pass(now, [this](const wire::JobId&) { return settled; });
+    for (const auto& action : placer.act(fleet)) stopping.insert({action.replica.first, action.task});
   }
   void place() {
     act();
     for (const auto& [id, spec] : jobs) {
-      for (const auto& want : placer.board().wants(id, 4, now)) {
+      for (const auto& want : placer.tracker().wants(id, 4, now)) {
         const auto start = placer.place(fleet, want, site_of(spec), now);
         act();
         if (!start) continue;
-        std::set<wire::HostId> hosts = want.peers;
+        std::set<wire::MachineId> machine_ids = want.peers;
         std::set<std::string> zones;
         if (!want.zone.empty()) zones.insert(want.zone);
-        for (const auto& [index, at] : start->members) {
-          EXPECT_TRUE(hosts.insert(at).second) << "two members on " << at.value;
-          zones.insert(fleet.find(at)->rack_room);
+        for (const auto& [index, at] : start->tasks) {
+          EXPECT_TRUE(machine_ids.insert(at).second) << "two members on " << at.value;
+          zones.insert(fleet.find(at)->zone);
           bind({id, index}, at);
         }
-        EXPECT_EQ(hosts.size(), kSpan);
+        EXPECT_EQ(machine_ids.size(), kSpan);
         EXPECT_EQ(zones.size(), 1U);
       }
     }
-    for (const auto& move : placer.board().moves(now)) {
+    for (const auto& move : placer.tracker().moves(now)) {
       placer.move(fleet, move, site_of(jobs.at(move.id.first)), now);
       act();
     }
   }
   void run_all() {
-    for (const auto& [member, at] : where)
-      if (!stopping.contains(member)) placer.board().running(member, now);
+    for (const auto& [task_id, at] : where)
+      if (!stopping.contains(task_id)) placer.tracker().running(task_id, now);
   }
   void stop_all() {
-    for (const auto& member : std::set<wire::MemberId>(stopping)) unbind(member);
+    for (const auto& task_id : std::set<wire::TaskId>(stopping)) unbind(task_id);
   }
   // Until nothing changes any more.
   void calm(double seconds) {
@@ -114,20 +114,20 @@
   }
   double kept() {
     double sum = 0;
-    for (auto& [id, machine] : fleet) sum += machine.kept.cores;
+    for (auto& [id, machine] : fleet) sum += machine.reserved.cores;
     return sum;
   }
 
   model::Fleet fleet;
-  Placer placer;
+  GangScheduler placer;
   std::map<wire::JobId, wire::JobSpec> jobs;
-  std::map<wire::MemberId, wire::HostId> where;
-  std::set<wire::MemberId> stopping;
+  std::map<wire::TaskId, wire::MachineId> where;
+  std::set<wire::TaskId> stopping;
   double now = 0;
   bool settled = true;
 };
 
-wire::MemberId member(std::uint32_t index, const std::string& job = "job-000001") { return {{job}, index}; }
+wire::TaskId member(std::uint32_t index, const std::string& job = "job-000001") { return {{job}, index}; }
 const ReplicaId kFirst{{"job-000001"}, 0};
 
 TEST(Replicas, AllPlacesAtOnceOrNone) {
@@ -140,14 +140,14 @@
   model.add(service("job-000001", 3, 8));
   model.place();
   EXPECT_TRUE(model.where.empty());
-  const auto lacks = model.placer.lacks(model.now);
+  const auto lacks = model.placer.shortages(model.now);
   ASSERT_TRUE(lacks.contains({"job-000001"}));
   EXPECT_EQ(lacks.at({"job-000001"}).machines, 1U);
   add_machine(model.fleet, 5, "b", 16);
   model.place();
   EXPECT_EQ(model.where.size(), 3U);
   model.run_all();
-  EXPECT_EQ(model.placer.board().phase(kFirst), Phase::whole);
+  EXPECT_EQ(model.placer.tracker().phase(kFirst), Phase::whole);
   model.act();
   EXPECT_EQ(model.kept(), 0);
 }
@@ -156,7 +156,7 @@
   Model model;
   for (int i = 0; i < 9; ++i) add_machine(model.fleet, i, "a", 16);
   model.add(service("job-000001", 8, 8));
-  EXPECT_EQ(model.placer.board().rest({"job-000001"}), 2U);
+  EXPECT_EQ(model.placer.tracker().unusable_tasks({"job-000001"}), 2U);
   model.calm(5);
   EXPECT_EQ(model.where.size(), 6U);
 }
@@ -169,15 +169,15 @@
   model.add(service("job-000001", 3, 16));
   model.calm(2);
   ASSERT_EQ(model.where.size(), 3U);
-  std::set<wire::HostId> before;
+  std::set<wire::MachineId> before;
   for (const auto& [id, at] : model.where) {
     before.insert(at);
     model.fleet.add_image(*model.fleet.find(at), "job-000001");
   }
   const auto lost = model.where.at(member(1));
-  model.fleet.find(lost)->releasing = true;
+  model.fleet.find(lost)->terminating = true;
   model.fleet.refresh(*model.fleet.find(lost));
-  model.placer.board().failing(member(1), model.now);
+  model.placer.tracker().failing(member(1), model.now);
   model.place();
   EXPECT_EQ(model.stopping.size(), 3U) << "its peers go on";
   // Not before the lost one is proven gone: else it could run twice.
@@ -197,14 +197,14 @@
 // A member that its machine still lists as ended is refused there: the members change places.
 TEST(Replicas, MembersChangePlacesWhereAnEarlierAttemptIsListed) {
   const std::vector<std::uint32_t> members = {0, 1, 2};
-  const std::vector<Spot> spots = {{host(0), "a"}, {host(1), "a"}, {host(2), "a"}};
-  const auto result = assign(members, spots, [](std::uint32_t index, const wire::HostId& at) {
+  const std::vector<Placement> spots = {{host(0), "a"}, {host(1), "a"}, {host(2), "a"}};
+  const auto result = assign(members, spots, [](std::uint32_t index, const wire::MachineId& at) {
     return at == host(static_cast<int>(index));
   });
   ASSERT_EQ(result.size(), 3U);
-  for (int i = 0; i < 3; ++i) EXPECT_NE(result[static_cast<std::size_t>(i)].host, host(i));
+  for (int i = 0; i < 3; ++i) EXPECT_NE(result[static_cast<std::size_t>(i)].machine_id, host(i));
   EXPECT_TRUE(
-      assign(members, spots, [](std::uint32_t index, const wire::HostId&) { return index == 1; }).empty());
+      assign(members, spots, [](std::uint32_t index, const wire::MachineId&) { return index == 1; }).empty());
 }
 
 // One that does not come to be whole is stopped and goes to other machines.
@@ -215,8 +215,8 @@
   model.place();
   ASSERT_EQ(model.where.size(), 3U);
   const auto dumb = model.where.at(member(2));
-  model.placer.board().running(member(0), model.now);
-  model.placer.board().running(member(1), model.now);
+  model.placer.tracker().running(member(0), model.now);
+  model.placer.tracker().running(member(1), model.now);
   model.now += kWait + 1;
   model.place();
   EXPECT_EQ(model.stopping.size(), 3U);
@@ -267,13 +267,13 @@
     model.fleet.refresh(machine);
     model.place();
     for (auto& [id, other] : model.fleet)
-      if (other.room().cores >= 2) {
+      if (other.available().cores >= 2) {
         other.used.cores += 2;
         ++taken;
         model.fleet.refresh(other);
       }
     model.run_all();
-    if (model.placer.board().phase(kFirst) == Phase::whole) whole_at = model.now;
+    if (model.placer.tracker().phase(kFirst) == Phase::whole) whole_at = model.now;
   }
   EXPECT_GT(whole_at, 0) << taken << " small tasks passed it";
   // A hold in vain, its pause and the time that the tasks of a machine take to end.
@@ -303,12 +303,12 @@
   for (int i = 0; i < 6; ++i) add_machine(model.fleet, i, "a", 16);
   model.add(service("job-000001", 6, 16));
   model.calm(2);
-  ASSERT_EQ(model.placer.board().whole({"job-000001"}), 2U);
+  ASSERT_EQ(model.placer.tracker().whole({"job-000001"}), 2U);
   const auto drain = [&](std::uint32_t index) {
     auto& machine = *model.fleet.find(model.where.at(member(index)));
     machine.draining = true;
     model.fleet.refresh(machine);
-    model.placer.board().must_leave(member(index), false, model.now);
+    model.placer.tracker().must_leave(member(index), false, model.now);
   };
   drain(0);
   drain(3);
@@ -318,9 +318,9 @@
   add_machine(model.fleet, 7, "a", 16);
   model.place();
   EXPECT_EQ(model.stopping.size(), 3U) << "one at a time";
-  EXPECT_EQ(model.placer.board().whole({"job-000001"}), 1U);
+  EXPECT_EQ(model.placer.tracker().whole({"job-000001"}), 1U);
   model.calm(5);
-  EXPECT_EQ(model.placer.board().whole({"job-000001"}), 2U);
+  EXPECT_EQ(model.placer.tracker().whole({"job-000001"}), 2U);
   for (const auto& [id, at] : model.where) EXPECT_FALSE(model.fleet.find(at)->draining) << id.text();
   // Not twice within the time stated.
   const auto before = model.where;
@@ -330,7 +330,7 @@
   EXPECT_EQ(model.where, before);
   model.calm(40);
   EXPECT_NE(model.where, before);
-  EXPECT_EQ(model.placer.board().whole({"job-000001"}), 2U);
+  EXPECT_EQ(model.placer.tracker().whole({"job-000001"}), 2U);
 }
 
 TEST(Replicas, TheOnlyOneMovesOnlyWhenItsMachineIsTaken) {
@@ -338,10 +338,10 @@
   for (int i = 0; i < 4; ++i) add_machine(model.fleet, i, "a", 16);
   model.add(service("job-000001", 3, 16));
   model.calm(2);
-  model.placer.board().must_leave(member(0), false, model.now);
+  model.placer.tracker().must_leave(member(0), false, model.now);
   model.place();
   EXPECT_TRUE(model.stopping.empty());
-  model.placer.board().must_leave(member(0), true, model.now);
+  model.placer.tracker().must_leave(member(0), true, model.now);
   model.place();
   EXPECT_EQ(model.stopping.size(), 3U);
 }
@@ -356,8 +356,8 @@
     model.add(service("job-000001", 3, 16));
     for (std::uint32_t i = 0; i < 2; ++i) {
       model.bind(member(i), host(static_cast<int>(i)));
-      model.placer.board().found(member(i), {host(static_cast<int>(i)), "a"}, model.now);
-      model.placer.board().running(member(i), model.now);
+      model.placer.tracker().found(member(i), {host(static_cast<int>(i)), "a"}, model.now);
+      model.placer.tracker().running(member(i), model.now);
     }
     // Not judged while a machine that may hold the third is not heard.
     model.settled = false;
@@ -366,7 +366,7 @@
     EXPECT_TRUE(model.stopping.empty());
     model.settled = true;
     model.calm(kWait + 3);
-    EXPECT_EQ(model.placer.board().phase(kFirst), room ? Phase::whole : Phase::waiting);
+    EXPECT_EQ(model.placer.tracker().phase(kFirst), room ? Phase::whole : Phase::waiting);
     EXPECT_EQ(model.where.size(), room ? 3U : 0U);
   }
 }
@@ -378,19 +378,19 @@
   const int at[] = {0, 0, 1, 2, 3, 4};  // two on one machine; one in another zone
   for (std::uint32_t i = 0; i < 6; ++i) {
     model.bind(member(i), host(at[i]));
-    model.placer.board().found(member(i), {host(at[i]), at[i] < 4 ? "a" : "b"}, model.now);
-    model.placer.board().running(member(i), model.now);
+    model.placer.tracker().found(member(i), {host(at[i]), at[i] < 4 ? "a" : "b"}, model.now);
+    model.placer.tracker().running(member(i), model.now);
   }
   model.calm(100);
-  EXPECT_EQ(model.placer.board().whole({"job-000001"}), 2U);
+  EXPECT_EQ(model.placer.tracker().whole({"job-000001"}), 2U);
   for (std::uint32_t replica = 0; replica < 2; ++replica) {
-    std::set<wire::HostId> hosts;
+    std::set<wire::MachineId> machine_ids;
     std::set<std::string> zones;
     for (std::uint32_t i = 0; i < 3; ++i) {
-      hosts.insert(model.where.at(member(3 * replica + i)));
-      zones.insert(model.fleet.find(model.where.at(member(3 * replica + i)))->rack_room);
+      machine_ids.insert(model.where.at(member(3 * replica + i)));
+      zones.insert(model.fleet.find(model.where.at(member(3 * replica + i)))->zone);
     }
-    EXPECT_EQ(hosts.size(), 3U);
+    EXPECT_EQ(machine_ids.size(), 3U);
     EXPECT_EQ(zones.size(), 1U);
   }
 }
@@ -413,7 +413,7 @@
     for (int i = 0; i < 14; ++i) boot();
     model.add(service("job-000001", 6, 16));
     model.add(service("job-000002", 7, 8));
-    std::map<wire::HostId, double> dead;  // until when its tasks may still run
+    std::map<wire::MachineId, double> dead;  // until when its tasks may still run
     for (; model.now < 400; model.now += 1) {
       if (model.fleet.size() < 14 && chance(0.3)) boot();
       if (chance(0.08) && !model.where.empty()) {
@@ -421,18 +421,18 @@
         std::advance(victim, static_cast<int>(random() % model.where.size()));
         auto& machine = *model.fleet.find(victim->second);
         if (chance(0.4)) {  // the member fails
-          model.unbind(wire::MemberId(victim->first));
+          model.unbind(wire::TaskId(victim->first));
         } else if (chance(0.5)) {  // the machine dies, which is proven later
-          machine.lost = true;
+          machine.lease_expired = true;
           model.fleet.refresh(machine);
-          dead.emplace(machine.host, model.now + (chance(0.5) ? 1 : 15));
+          dead.emplace(machine.id, model.now + (chance(0.5) ? 1 : 15));
           for (const auto& [id, at] : model.where)
-            if (at == machine.host) model.placer.board().failing(id, model.now);
+            if (at == machine.id) model.placer.tracker().failing(id, model.now);
         } else {
           machine.draining = true;
           model.fleet.refresh(machine);
           for (const auto& [id, at] : model.where)
-            if (at == machine.host) model.placer.board().must_leave(id, chance(0.5), model.now);
+            if (at == machine.id) model.placer.tracker().must_leave(id, chance(0.5), model.now);
         }
       }
       for (auto entry = dead.begin(); entry != dead.end();) {
@@ -440,14 +440,14 @@
           ++entry;
           continue;
         }
-        std::vector<wire::MemberId> ended;
+        std::vector<wire::TaskId> ended;
         for (const auto& [id, at] : model.where)
           if (at == entry->first) ended.push_back(id);
         for (const auto& id : ended) model.unbind(id);
         model.fleet.erase(entry->first);
         entry = dead.erase(entry);
       }
-      std::vector<wire::HostId> empty;
+      std::vector<wire::MachineId> empty;
       for (auto& [id, machine] : model.fleet)
         if (machine.draining && machine.used.cores < 1) empty.push_back(id);
       for (const auto& id : empty)
@@ -457,13 +457,13 @@
       starts += model.where.size() > before ? 1 : 0;
       for (const auto& [id, at] : model.where)
         if (!dead.contains(at) && !model.stopping.contains(id) && chance(0.5))
-          model.placer.board().running(id, model.now);
-      for (const auto& id : std::set<wire::MemberId>(model.stopping))
+          model.placer.tracker().running(id, model.now);
+      for (const auto& id : std::set<wire::TaskId>(model.stopping))
         if (!dead.contains(model.where.at(id)) && chance(0.7)) model.unbind(id);
       ASSERT_FALSE(testing::Test::HasFailure());
     }
-    for (const auto& [id, until] : std::map<wire::HostId, double>(dead)) {
-      std::vector<wire::MemberId> ended;
+    for (const auto& [id, until] : std::map<wire::MachineId, double>(dead)) {
+      std::vector<wire::TaskId> ended;
       for (const auto& [one, at] : model.where)
         if (at == id) ended.push_back(one);
       for (const auto& one : ended) model.unbind(one);
@@ -471,11 +471,11 @@
     }
     for (int i = 0; i < 14; ++i) boot();
     model.calm(120);
-    EXPECT_EQ(model.placer.board().whole({"job-000001"}), 2U);
-    EXPECT_EQ(model.placer.board().whole({"job-000002"}), 2U);
+    EXPECT_EQ(model.placer.tracker().whole({"job-000001"}), 2U);
+    EXPECT_EQ(model.placer.tracker().whole({"job-000002"}), 2U);
     EXPECT_EQ(model.where.size(), 12U);
     EXPECT_EQ(model.kept(), 0);
-    EXPECT_FALSE(model.placer.board().holder());
+    EXPECT_FALSE(model.placer.tracker().holder());
   }
   EXPECT_GT(starts, 600U);
 }
@@ -486,11 +486,11 @@
   for (const int large : {0, 1}) {
     model::Fleet fleet;
     for (int i = 0; i < (large == 1 ? 5000 : 500); ++i) add_machine(fleet, i, i % 2 == 0 ? "a" : "b", 16);
-    Placer placer({kWait, 4, 30, 0.25, 8});
+    GangScheduler placer({kWait, 4, 30, 0.25, 8});
     const auto spec = service("job-000001", 8, 16);
     placer.follow(spec, 8, 0);
     const auto before = fleet.steps();
-    ASSERT_TRUE(placer.place(fleet, placer.board().wants(spec.uid, 1, 0).front(), site_of(spec), 0));
+    ASSERT_TRUE(placer.place(fleet, placer.tracker().wants(spec.id, 1, 0).front(), site_of(spec), 0));
     steps[large] = fleet.steps() - before;
   }
   EXPECT_LE(steps[1], steps[0] + 8);
@@ -498,4 +498,4 @@
 }
 
 }  // namespace
-}  // namespace bankhill::replicas
+}  // namespace bankhill::gang
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -9,37 +9,37 @@
 namespace {
 
 TEST(Admission, Reasons) {
-  wire::Flavor flavor;
-  flavor.name = "m";
-  flavor.size = {8, 0, 32};
-  flavor.rack_rooms = {"a"};
+  wire::MachineType machine_type;
+  machine_type.name = "m";
+  machine_type.capacity = {8, 0, 32};
+  machine_type.zones = {"a"};
   const std::vector<TeamLimit> teams = {{"red", {16, 0, 0}}};
   wire::JobSpec spec;
-  spec.owner = "red";
-  spec.need = {8, 0, 32};
-  spec.members = 50;
-  EXPECT_FALSE(refusal(spec, teams, {flavor})) << "an array needs room for one task";
+  spec.team = "red";
+  spec.request = {8, 0, 32};
+  spec.task_count = 50;
+  EXPECT_FALSE(refusal(spec, teams, {machine_type})) << "an array needs room for one task";
   auto other = spec;
-  other.shape = wire::Shape::daemon;
-  EXPECT_EQ(refusal(other, teams, {flavor}), RejectionReason::exceeds_team_limit)
+  other.kind = wire::JobKind::service;
+  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::exceeds_team_limit)
       << "a service needs room for all";
   const std::vector<TeamLimit> guests = {{"red", {std::numeric_limits<double>::infinity(), 0, 0}}};
-  EXPECT_FALSE(refusal(other, guests, {flavor})) << "a team without a limit";
+  EXPECT_FALSE(refusal(other, guests, {machine_type})) << "a team without a limit";
   other = spec;
-  other.owner = "blue";
-  EXPECT_EQ(refusal(other, teams, {flavor}), RejectionReason::unknown_team);
+  other.team = "blue";
+  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::unknown_team);
   other = spec;
-  other.need.ram_gb = 33;
-  EXPECT_EQ(refusal(other, teams, {flavor}), RejectionReason::fits_no_machine_type);
+  other.request.ram_gb = 33;
+  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::fits_no_machine_type);
   other = spec;
-  other.need.accelerators = 1;
-  EXPECT_EQ(refusal(other, teams, {flavor}), RejectionReason::exceeds_team_limit);
+  other.request.accelerators = 1;
+  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::exceeds_team_limit);
   other = spec;
-  other.flavors = std::vector<std::string>{"x"};
-  EXPECT_EQ(refusal(other, teams, {flavor}), RejectionReason::fits_no_machine_type);
+  other.machine_types = std::vector<std::string>{"x"};
+  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::fits_no_machine_type);
   other = spec;
-  other.rack_room = "b";
-  EXPECT_EQ(refusal(other, teams, {flavor}), RejectionReason::fits_no_machine_type);
+  other.zone = "b";
+  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::fits_no_machine_type);
 }
 
 }  // namespace
--- a/tests/delegation_test.cpp
+++ b/tests/heartbeat_forwarding_test.cpp
@@ -1,20 +1,20 @@
-// Delegation without a network: frames, the choice of a controller, and the courier between delegate and
-// leader.
+// Delegation without a network: frames, the choice of a controller, and the courier between forwarding
+// controller and leader.
 #include <gtest/gtest.h>
 
-#include "delegation/courier.hpp"
-#include "delegation/spread.hpp"
+#include "heartbeat/balance.hpp"
+#include "heartbeat/heartbeat_forwarder.hpp"
 #include "manual_loop.hpp"
 
-namespace bankhill::delegation {
+namespace bankhill::heartbeat {
 namespace {
 
-using wire::DelegatedReport;
+using wire::ForwardedHeartbeat;
 using wire::Frame;
-using wire::Ruling;
-using wire::Verdict;
+using wire::HeartbeatResponse;
+using wire::HeartbeatResult;
 
-class Peers final : public net::PeerPort {
+class Peers final : public net::PeerTransport {
  public:
   bool send(const std::string& node, const Frame& frame) override {
     if (cut) return false;
@@ -26,17 +26,17 @@
   bool cut = false;
 };
 
-wire::Report report(const std::string& host, std::uint64_t counter, std::size_t tasks) {
-  wire::Report result;
-  result.host = {host};
+wire::Heartbeat report(const std::string& host, std::uint64_t counter, std::size_t tasks) {
+  wire::Heartbeat result;
+  result.machine_id = {host};
   result.address = "10.1.0.1:9000";
-  result.flavor = "g8";
-  result.rack_room = "a";
-  result.tenure = {1};
-  result.counter = counter;
-  result.fence = {7};
+  result.machine_type = "g8";
+  result.zone = "a";
+  result.agent_epoch = {1};
+  result.sequence = counter;
+  result.fencing_token = {7};
   for (std::uint32_t i = 0; i < tasks; ++i)
-    result.members.push_back({{wire::JobId{"job-000412"}, i}, {9}, wire::MemberPhase::running, {}, false});
+    result.tasks.push_back({{wire::JobId{"job-000412"}, i}, {9}, wire::TaskState::running, {}, false});
   return result;
 }
 
@@ -44,22 +44,25 @@
  protected:
   CourierTest()
       : courier(loop, 1000, {0.02, 2, 80},
-                {peers,
-                 [this](wire::Report taken, std::uint64_t base, net::RulingReply reply, const std::string&) {
-                   tasks.push_back(taken.members.size());
+                {peers, [this](wire::Heartbeat taken, std::uint64_t base, net::HeartbeatReply reply,
+                               const std::string&) {
+                   tasks.push_back(taken.tasks.size());
                    bases.push_back(base);
                    replies.push_back(std::move(reply));
                  }}) {}
 
-  void deliver(wire::Report item) {
-    courier.tell(Deliver{"leader", std::move(item), [this](Ruling ruling) { answers.push_back(ruling); }});
+  void deliver(wire::Heartbeat item) {
+    courier.tell(ForwardHeartbeat{"leader", std::move(item),
+                                  [this](HeartbeatResponse response) { answers.push_back(response); }});
     loop.pass(0.05);
   }
   // The report that went out last.
-  DelegatedReport last() { return std::get<wire::Reports>(peers.sent.back().second).items.back(); }
-  void rule(Verdict verdict) { rule(last().id, verdict); }
-  void rule(std::uint64_t id, Verdict verdict) {
-    courier.tell(Arrived{"leader", wire::Rulings{{Ruling{id, verdict, {7}, {}}}}});
+  ForwardedHeartbeat last() {
+    return std::get<wire::ForwardedHeartbeats>(peers.sent.back().second).items.back();
+  }
+  void rule(HeartbeatResult verdict) { rule(last().id, verdict); }
+  void rule(std::uint64_t id, HeartbeatResult verdict) {
+    courier.tell(PeerFrame{"leader", wire::HeartbeatResponses{{HeartbeatResponse{id, verdict, {7}, {}}}}});
     loop.pass(0.05);
   }
 
@@ -67,44 +70,44 @@
   Peers peers;
   std::vector<std::size_t> tasks;
   std::vector<std::uint64_t> bases;
-  std::vector<net::RulingReply> replies;
-  std::vector<Ruling> answers;
-  Courier courier;
+  std::vector<net::HeartbeatReply> replies;
+  std::vector<HeartbeatResponse> answers;
+  HeartbeatForwarder courier;
 };
 
 TEST_F(CourierTest, OnlyWhatTheLeaderGrantedIsABase) {
   deliver(report("n-1", 1, 3));
-  EXPECT_EQ(last().base, 0U);
-  rule(Verdict::refused);
+  EXPECT_EQ(last().base_sequence, 0U);
+  rule(HeartbeatResult::rejected);
   deliver(report("n-1", 2, 3));
-  EXPECT_EQ(last().base, 0U) << "a refused report is known to nobody";
-  rule(Verdict::granted);
+  EXPECT_EQ(last().base_sequence, 0U) << "a refused report is known to nobody";
+  rule(HeartbeatResult::accepted);
   deliver(report("n-1", 3, 3));
-  EXPECT_EQ(last().base, 2U);
-  EXPECT_TRUE(last().report.members.empty());
-  EXPECT_EQ(last().report.counter, 3U);
-  rule(Verdict::granted);
+  EXPECT_EQ(last().base_sequence, 2U);
+  EXPECT_TRUE(last().heartbeat.tasks.empty());
+  EXPECT_EQ(last().heartbeat.sequence, 3U);
+  rule(HeartbeatResult::accepted);
   deliver(report("n-1", 4, 3));
-  EXPECT_EQ(last().base, 2U) << "the list of tasks is that of the full report";
-  rule(Verdict::granted);
+  EXPECT_EQ(last().base_sequence, 2U) << "the list of tasks is that of the full report";
+  rule(HeartbeatResult::accepted);
   deliver(report("n-1", 5, 4));
-  EXPECT_EQ(last().base, 0U) << "its tasks have changed";
-  EXPECT_EQ(last().report, report("n-1", 5, 4));
+  EXPECT_EQ(last().base_sequence, 0U) << "its tasks have changed";
+  EXPECT_EQ(last().heartbeat, report("n-1", 5, 4));
   ASSERT_EQ(answers.size(), 4U);
 }
 
 TEST_F(CourierTest, WhatTheLeaderCannotCompleteIsSentInFull) {
   deliver(report("n-1", 1, 2));
-  rule(Verdict::granted);
+  rule(HeartbeatResult::accepted);
   deliver(report("n-1", 2, 2));
   const auto id = last().id;
-  EXPECT_EQ(last().base, 1U);
-  rule(Verdict::in_full);
+  EXPECT_EQ(last().base_sequence, 1U);
+  rule(HeartbeatResult::resend_in_full);
   EXPECT_EQ(last().id, id);
-  EXPECT_EQ(last().base, 0U);
-  EXPECT_EQ(last().report, report("n-1", 2, 2));
+  EXPECT_EQ(last().base_sequence, 0U);
+  EXPECT_EQ(last().heartbeat, report("n-1", 2, 2));
   EXPECT_EQ(answers.size(), 1U) << "the worker waits on";
-  rule(Verdict::granted);
+  rule(HeartbeatResult::accepted);
   EXPECT_EQ(answers.size(), 2U);
 }
 
@@ -113,24 +116,26 @@
   const auto id = last().id;
   loop.pass(2.5);
   ASSERT_EQ(answers.size(), 1U);
-  EXPECT_EQ(answers[0].verdict, Verdict::refused);
-  rule(id, Verdict::granted);
+  EXPECT_EQ(answers[0].result, HeartbeatResult::rejected);
+  rule(id, HeartbeatResult::accepted);
   EXPECT_EQ(answers.size(), 1U);
   deliver(report("n-1", 2, 1));
-  EXPECT_EQ(last().base, 0U) << "whether the leader had it is not known";
+  EXPECT_EQ(last().base_sequence, 0U) << "whether the leader had it is not known";
 }
 
-// A leader that stood still answers what it had from a delegate that has been restarted meanwhile: taken for
-// rulings on reports of the new process, its orders would go to other workers.
+// A leader that stood still answers what it had from a forwarding controller that has been restarted
+// meanwhile: taken for responses on reports of the new process, its orders would go to other workers.
 TEST_F(CourierTest, ARulingForAnEarlierProcessFindsNothing) {
   deliver(report("n-1", 1, 1));
   const auto earlier = last().id;
-  Courier restarted(loop, 5000, {0.02, 2, 80}, {peers, {}});
-  restarted.tell(
-      Deliver{"leader", report("n-2", 1, 1), [this](const Ruling& ruling) { answers.push_back(ruling); }});
+  HeartbeatForwarder restarted(loop, 5000, {0.02, 2, 80}, {peers, {}});
+  restarted.tell(ForwardHeartbeat{"leader", report("n-2", 1, 1), [this](const HeartbeatResponse& response) {
+                                    answers.push_back(response);
+                                  }});
   loop.pass(0.05);
-  ASSERT_EQ(last().report.host, wire::HostId{"n-2"});
-  restarted.tell(Arrived{"leader", wire::Rulings{{Ruling{earlier, Verdict::granted, {7}, {}}}}});
+  ASSERT_EQ(last().heartbeat.machine_id, wire::MachineId{"n-2"});
+  restarted.tell(PeerFrame{
+      "leader", wire::HeartbeatResponses{{HeartbeatResponse{earlier, HeartbeatResult::accepted, {7}, {}}}}});
   loop.pass(0.05);
   EXPECT_TRUE(answers.empty());
 }
@@ -139,29 +144,29 @@
   peers.cut = true;
   deliver(report("n-1", 1, 1));
   ASSERT_EQ(answers.size(), 1U);
-  EXPECT_EQ(answers[0].verdict, Verdict::refused);
+  EXPECT_EQ(answers[0].result, HeartbeatResult::rejected);
 }
 
 TEST_F(CourierTest, ReportsAndRulingsGoInBundles) {
   for (int i = 0; i < 100; ++i)
-    courier.tell(Deliver{"leader", report("n-" + std::to_string(i), 1, 1),
-                         [this](Ruling r) { answers.push_back(r); }});
+    courier.tell(ForwardHeartbeat{"leader", report("n-" + std::to_string(i), 1, 1),
+                                  [this](HeartbeatResponse r) { answers.push_back(r); }});
   loop.pass(0.1);
   EXPECT_LE(peers.sent.size(), 3U);
-  std::vector<DelegatedReport> items;
+  std::vector<ForwardedHeartbeat> items;
   for (const auto& [node, frame] : peers.sent)
-    for (const auto& item : std::get<wire::Reports>(frame).items) items.push_back(item);
+    for (const auto& item : std::get<wire::ForwardedHeartbeats>(frame).items) items.push_back(item);
   ASSERT_EQ(items.size(), 100U);
   peers.sent.clear();
-  courier.tell(Arrived{"delegate", wire::Reports{items}});
+  courier.tell(PeerFrame{"delegate", wire::ForwardedHeartbeats{items}});
   loop.pass(0.1);
   ASSERT_EQ(replies.size(), 100U);
-  for (auto& reply : replies) reply({0, Verdict::granted, {7}, {}});
+  for (auto& reply : replies) reply({0, HeartbeatResult::accepted, {7}, {}});
   loop.pass(0.1);
   std::set<std::uint64_t> ruled;
   for (const auto& [node, frame] : peers.sent) {
     EXPECT_EQ(node, "delegate");
-    for (const auto& ruling : std::get<wire::Rulings>(frame).items) ruled.insert(ruling.id);
+    for (const auto& response : std::get<wire::HeartbeatResponses>(frame).items) ruled.insert(response.id);
   }
   EXPECT_LE(peers.sent.size(), 3U);
   EXPECT_EQ(ruled.size(), 100U);
@@ -173,7 +178,7 @@
   for (unsigned seed = 1; seed <= 20; ++seed) {
     std::mt19937 random(seed);
     const std::size_t count = 2 + random() % 6;
-    std::vector<Member> members;
+    std::vector<ControllerShare> members;
     for (std::size_t i = 0; i < count; ++i)
       members.push_back({"c" + std::to_string(i), random() % 2 == 0 ? "a" : "b", 0, 1000, i == 0});
     for (int worker = 0; worker < 1000; ++worker) {
@@ -181,7 +186,7 @@
       std::size_t at = random() % count;
       for (std::size_t hop = 0;; ++hop) {
         ASSERT_LE(hop, count) << "goes round, seed " << seed;
-        const auto next = choose(members, at, zone, false);
+        const auto next = choose_controller(members, at, zone, false);
         if (next == at) break;
         at = next;
       }
@@ -190,41 +195,42 @@
     double least = 1e9;
     double most = 0;
     for (const auto& member : members) {
-      least = std::min(least, fill(member));
-      most = std::max(most, fill(member));
+      least = std::min(least, load_ratio(member));
+      most = std::max(most, load_ratio(member));
     }
     EXPECT_LT(most - least, 0.5 * (most + least) / 2) << "seed " << seed;
     EXPECT_GT(members[1].workers, members[0].workers) << "the leader has less, seed " << seed;
     // Of those that are settled, few would move, and a controller that begins with none gets some.
-    for (std::size_t at = 0; at < count; ++at) EXPECT_EQ(choose(members, at, members[at].zone, true), at);
+    for (std::size_t at = 0; at < count; ++at)
+      EXPECT_EQ(choose_controller(members, at, members[at].zone, true), at);
     members.push_back({"new", "a", 0, 1000, false});
-    for (std::size_t at = 0; at < count; ++at) EXPECT_EQ(choose(members, at, "a", true), count);
+    for (std::size_t at = 0; at < count; ++at) EXPECT_EQ(choose_controller(members, at, "a", true), count);
   }
 }
 
 TEST(Frames, ThoseOfDelegationSurviveTheWireAndNoOthersAreRead) {
   std::mt19937_64 random(11);
-  wire::Reports reports;
-  wire::Rulings rulings;
+  wire::ForwardedHeartbeats heartbeats;
+  wire::HeartbeatResponses responses;
   for (std::uint64_t i = 1; i <= 20; ++i) {
     auto item = report("n-" + std::to_string(i), i * 1'000'000'007, i % 5);
-    if (i % 3 == 0) item.warning_s = 2.5;
-    item.reclaimable = i % 2 == 0;
-    reports.items.push_back({random(), 0, item});
-    DelegatedReport brief{random(), i, {}};
-    brief.report.host = item.host;
-    brief.report.tenure = {random()};
-    brief.report.counter = random();
-    brief.report.fence = {random()};
-    reports.items.push_back(brief);
-    Ruling ruling{random(), static_cast<Verdict>(i % 3), {random()}, {}};
+    if (i % 3 == 0) item.preemption_notice_s = 2.5;
+    item.preemptible = i % 2 == 0;
+    heartbeats.items.push_back({random(), 0, item});
+    ForwardedHeartbeat brief{random(), i, {}};
+    brief.heartbeat.machine_id = item.machine_id;
+    brief.heartbeat.agent_epoch = {random()};
+    brief.heartbeat.sequence = random();
+    brief.heartbeat.fencing_token = {random()};
+    heartbeats.items.push_back(brief);
+    HeartbeatResponse response{random(), static_cast<HeartbeatResult>(i % 3), {random()}, {}};
     for (std::uint32_t k = 0; k < i % 4; ++k)
-      ruling.orders.push_back(
-          {static_cast<wire::Verb>(k % 3), {wire::JobId{"job-1"}, k}, {random()}, 1.5 * k});
-    rulings.items.push_back(ruling);
+      response.commands.push_back(
+          {static_cast<wire::CommandType>(k % 3), {wire::JobId{"job-1"}, k}, {random()}, 1.5 * k});
+    responses.items.push_back(response);
   }
-  for (const Frame& frame : {Frame{reports}, Frame{rulings}, Frame{wire::Load{7, 900, "voss"}},
-                             Frame{wire::Beat{4, true, true, wire::kFeatureDelegation}}}) {
+  for (const Frame& frame : {Frame{heartbeats}, Frame{responses}, Frame{wire::ControllerLoad{7, 900, "voss"}},
+                             Frame{wire::PeerStatus{4, true, true, wire::kFeatureHeartbeatForwarding}}}) {
     const auto bytes = wire::encode(frame);
     wire::FrameReader reader;
     reader.append(bytes);
@@ -258,15 +264,15 @@
   EXPECT_NE(wire::fingerprint(report("n-2", 1, 2)), base);
   EXPECT_NE(wire::fingerprint(report("n-1", 1, 1)), base);
   auto other = report("n-1", 1, 2);
-  other.members[1].phase = wire::MemberPhase::exited;
+  other.tasks[1].state = wire::TaskState::exited;
   EXPECT_NE(wire::fingerprint(other), base);
   other = report("n-1", 1, 2);
-  other.fence = {8};
+  other.fencing_token = {8};
   EXPECT_NE(wire::fingerprint(other), base);
   other = report("n-1", 1, 2);
-  other.warning_s = 3;
+  other.preemption_notice_s = 3;
   EXPECT_NE(wire::fingerprint(other), base);
 }
 
 }  // namespace
-}  // namespace bankhill::delegation
+}  // namespace bankhill::heartbeat
--- a/tests/job_index_test.cpp
+++ b/tests/job_index_test.cpp
@@ -14,26 +14,26 @@
 namespace {
 
 using wire::JobId;
-using wire::JobPhase;
+using wire::JobState;
 using wire::Json;
-using wire::Stamp;
+using wire::KeyRevision;
 
 constexpr std::size_t kFinalJobsKept = 2;
 constexpr double kSettledS = 0.5;  // any look-up has been answered by then
 
 JobId job_id(int number) { return JobId{"job-" + std::to_string(number)}; }
 
-wire::JobRecord record_of(const JobId& id, JobPhase phase = JobPhase::accepted,
+wire::JobRecord record_of(const JobId& id, JobState phase = JobState::accepted,
                           std::vector<JobId> depends_on = {}) {
   wire::JobRecord record;
-  record.spec.uid = id;
-  record.spec.queue = "any";
-  record.spec.owner = "red";
-  record.spec.members = 4;
-  record.spec.need = {1, 0, 2};
-  record.spec.bundle = "img-1";
-  record.spec.waits_on = std::move(depends_on);
-  record.phase = phase;
+  record.spec.id = id;
+  record.spec.job_class = "any";
+  record.spec.team = "red";
+  record.spec.task_count = 4;
+  record.spec.request = {1, 0, 2};
+  record.spec.image = "img-1";
+  record.spec.depends_on = std::move(depends_on);
+  record.state = phase;
   return record;
 }
 
@@ -43,8 +43,8 @@
  public:
   explicit FakeStateService(runtime::Loop& loop) : loop_(loop) {}
 
-  void put(const std::string& key, Json data) { entries_[key] = {std::move(data), Stamp{++revision_}}; }
-  void put(const wire::JobRecord& record) { put(wire::job_key(record.spec.uid), to_json(record)); }
+  void put(const std::string& key, Json data) { entries_[key] = {std::move(data), KeyRevision{++revision_}}; }
+  void put(const wire::JobRecord& record) { put(wire::job_key(record.spec.id), to_json(record)); }
 
   void send(const std::string&, net::Request request, double, net::Reply reply) override {
     if (request.path.starts_with("/keys?")) return answer(reply, 200, all_keys());
@@ -62,22 +62,22 @@
   Json all_keys() const {
     Json items = Json::array();
     for (const auto& [key, entry] : entries_)
-      items.push_back({{"k", key}, {"data", entry.data}, {"stamp", entry.stamp.value}});
+      items.push_back({{"k", key}, {"data", entry.data}, {"stamp", entry.revision.value}});
     return {{"items", items}, {"has_next", false}, {"epoch", revision_}};
   }
   Json news_after(const std::string& path) const {
     const auto after = std::stoull(path.substr(path.find("&after=") + 7));
     Json news = Json::array();
     for (const auto& [key, entry] : entries_)
-      if (entry.stamp.value > after)
-        news.push_back({{"write", key}, {"data", entry.data}, {"stamp", entry.stamp.value}});
+      if (entry.revision.value > after)
+        news.push_back({{"write", key}, {"data", entry.data}, {"stamp", entry.revision.value}});
     return news;
   }
   void answer_key(const std::string& key, const net::Reply& reply) {
     ++fetches;
     const auto found = entries_.find(key);
     if (found == entries_.end()) return answer(reply, 404, Json::object());
-    answer(reply, 200, Json{{"data", found->second.data}, {"stamp", found->second.stamp.value}});
+    answer(reply, 200, Json{{"data", found->second.data}, {"stamp", found->second.revision.value}});
   }
   void answer(const net::Reply& reply, int status, const Json& body) {
     loop_.post([reply, status, text = body.dump()] { reply({status, text, std::nullopt}); });
@@ -126,36 +126,36 @@
   start();
   const auto* job = index_.find(job_id(1));
   ASSERT_NE(job, nullptr);
-  EXPECT_EQ(job->phase, JobPhase::accepted);
+  EXPECT_EQ(job->state, JobState::accepted);
   EXPECT_EQ(job->task_count, 4U);
   EXPECT_TRUE(job->record.has_value());
   EXPECT_FALSE(index_.is_over(job_id(1), *job));
   EXPECT_TRUE(index_.surely_accepted(job_id(1)));
   EXPECT_FALSE(index_.surely_accepted(job_id(2)));
 
-  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobPhase::done)), Stamp{9}}});
+  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobState::done)), KeyRevision{9}}});
   EXPECT_EQ(first_seen_, std::vector<JobId>{job_id(1)});
 }
 
 TEST_F(JobIndexTest, ChangesThatAreNotNewerChangeNothing) {
   const auto key = wire::job_key(job_id(1));
-  index_.apply({{key, to_json(record_of(job_id(1), JobPhase::done)), Stamp{5}}});
-  index_.apply({{key, to_json(record_of(job_id(1))), Stamp{4}}});
-  index_.apply({{key, to_json(record_of(job_id(1))), Stamp{5}}});
-  EXPECT_EQ(index_.find(job_id(1))->phase, JobPhase::done);
-  EXPECT_EQ(index_.find(job_id(1))->revision, Stamp{5});
+  index_.apply({{key, to_json(record_of(job_id(1), JobState::done)), KeyRevision{5}}});
+  index_.apply({{key, to_json(record_of(job_id(1))), KeyRevision{4}}});
+  index_.apply({{key, to_json(record_of(job_id(1))), KeyRevision{5}}});
+  EXPECT_EQ(index_.find(job_id(1))->state, JobState::done);
+  EXPECT_EQ(index_.find(job_id(1))->revision, KeyRevision{5});
 }
 
 TEST_F(JobIndexTest, AJobThatIsOverLosesItsRecordAndProgress) {
   const auto key = wire::job_key(job_id(1));
-  index_.apply({{key, to_json(record_of(job_id(1))), Stamp{5}}});
-  wire::Progress progress;
+  index_.apply({{key, to_json(record_of(job_id(1))), KeyRevision{5}}});
+  wire::JobProgress progress;
   progress.job = job_id(1).value;
   progress.running = 3;
   index_.update_progress(progress);
   EXPECT_EQ(index_.find(job_id(1))->progress.running, 3U);
 
-  index_.apply({{key, to_json(record_of(job_id(1), JobPhase::cancelled)), Stamp{6}}});
+  index_.apply({{key, to_json(record_of(job_id(1), JobState::cancelled)), KeyRevision{6}}});
   index_.update_progress(progress);
   const auto* job = index_.find(job_id(1));
   EXPECT_FALSE(job->record.has_value());
@@ -165,7 +165,7 @@
 }
 
 TEST_F(JobIndexTest, TheOldestFinalJobsLeaveMemoryAndAreReadAgain) {
-  for (int number = 1; number <= 4; ++number) service_.put(record_of(job_id(number), JobPhase::done));
+  for (int number = 1; number <= 4; ++number) service_.put(record_of(job_id(number), JobState::done));
   start();
   EXPECT_EQ(index_.find(job_id(1)), nullptr);
   EXPECT_EQ(index_.find(job_id(2)), nullptr);
@@ -174,7 +174,7 @@
 
   const auto [status, job] = look_up(job_id(1));
   EXPECT_EQ(status, LookupStatus::found);
-  EXPECT_EQ(job->phase, JobPhase::done);
+  EXPECT_EQ(job->state, JobState::done);
   EXPECT_EQ(service_.fetches, 1);
 }
 
@@ -185,7 +185,7 @@
 }
 
 TEST_F(JobIndexTest, LookUpOfAFinalJobNeedsNoReadBarrier) {
-  service_.put(record_of(job_id(1), JobPhase::done));
+  service_.put(record_of(job_id(1), JobState::done));
   start();
   const int before = service_.barriers;
   bool answered_at_once = false;
@@ -198,10 +198,10 @@
 TEST_F(JobIndexTest, LookUpOfALiveOrUnknownJobTakesInWhatWasCommittedBefore) {
   service_.put(record_of(job_id(1)));
   start();
-  service_.put(record_of(job_id(1), JobPhase::done));
+  service_.put(record_of(job_id(1), JobState::done));
   service_.put(record_of(job_id(2)));
   const int before = service_.barriers;
-  EXPECT_EQ(look_up(job_id(1)).second->phase, JobPhase::done);
+  EXPECT_EQ(look_up(job_id(1)).second->state, JobState::done);
   EXPECT_EQ(service_.barriers, before + 1);
   EXPECT_EQ(look_up(job_id(2)).first, LookupStatus::found);
   EXPECT_EQ(look_up(job_id(3)).first, LookupStatus::never_accepted);
@@ -233,59 +233,61 @@
 }
 
 TEST_F(JobIndexTest, DependenciesUnderFurtherKeysMayFollowInTheSameChange) {
-  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1))), Stamp{1}}});
+  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1))), KeyRevision{1}}});
   auto record = record_of(job_id(2));
-  record.waits_parts = 1;
-  index_.apply({{wire::job_key(job_id(2)), to_json(record), Stamp{2}},
-                {wire::waits_key(job_id(2), 0), Json("1"), Stamp{2}}});
-  EXPECT_FALSE(index_.dependencies().released(job_id(2)));
-  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobPhase::done)), Stamp{3}}});
-  EXPECT_TRUE(index_.dependencies().released(job_id(2)));
+  record.dependency_parts = 1;
+  index_.apply({{wire::job_key(job_id(2)), to_json(record), KeyRevision{2}},
+                {wire::dependencies_key(job_id(2), 0), Json("1"), KeyRevision{2}}});
+  EXPECT_FALSE(index_.dependencies().ready(job_id(2)));
+  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobState::done)), KeyRevision{3}}});
+  EXPECT_TRUE(index_.dependencies().ready(job_id(2)));
 }
 
 TEST_F(JobIndexTest, AJobWithAMissingPartOfItsDependenciesIsNeverReleased) {
   auto record = record_of(job_id(2));
-  record.waits_parts = 2;
-  index_.apply({{wire::job_key(job_id(2)), to_json(record), Stamp{2}},
-                {wire::waits_key(job_id(2), 0), Json("1"), Stamp{2}}});
-  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobPhase::done)), Stamp{3}}});
-  EXPECT_FALSE(index_.dependencies().released(job_id(2)));
+  record.dependency_parts = 2;
+  index_.apply({{wire::job_key(job_id(2)), to_json(record), KeyRevision{2}},
+                {wire::dependencies_key(job_id(2), 0), Json("1"), KeyRevision{2}}});
+  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobState::done)), KeyRevision{3}}});
+  EXPECT_FALSE(index_.dependencies().ready(job_id(2)));
 }
 
 TEST_F(JobIndexTest, AJobIsOverWithTheCancelledJobThatItDependsOn) {
-  index_.apply(
-      {{wire::job_key(job_id(1)), to_json(record_of(job_id(1))), Stamp{1}},
-       {wire::job_key(job_id(2)), to_json(record_of(job_id(2), JobPhase::accepted, {job_id(1)})), Stamp{2}}});
+  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1))), KeyRevision{1}},
+                {wire::job_key(job_id(2)), to_json(record_of(job_id(2), JobState::accepted, {job_id(1)})),
+                 KeyRevision{2}}});
   EXPECT_FALSE(index_.is_over(job_id(2), *index_.find(job_id(2))));
-  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobPhase::cancelled)), Stamp{3}}});
+  index_.apply(
+      {{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobState::cancelled)), KeyRevision{3}}});
   EXPECT_TRUE(index_.is_over(job_id(2), *index_.find(job_id(2))));
   EXPECT_TRUE(index_.is_cancelled(job_id(2)));
 }
 
 TEST_F(JobIndexTest, DependenciesThatLeftMemoryAreReadAndNotGuessed) {
-  service_.put(record_of(job_id(1), JobPhase::cancelled));
-  for (int number = 2; number <= 4; ++number) service_.put(record_of(job_id(number), JobPhase::done));
+  service_.put(record_of(job_id(1), JobState::cancelled));
+  for (int number = 2; number <= 4; ++number) service_.put(record_of(job_id(number), JobState::done));
   start();
   ASSERT_EQ(index_.find(job_id(1)), nullptr);
-  service_.put(record_of(job_id(5), JobPhase::accepted, {job_id(1), job_id(2)}));
-  service_.put(record_of(job_id(6), JobPhase::accepted, {job_id(99)}));
+  service_.put(record_of(job_id(5), JobState::accepted, {job_id(1), job_id(2)}));
+  service_.put(record_of(job_id(6), JobState::accepted, {job_id(99)}));
   EXPECT_EQ(look_up(job_id(5)).first, LookupStatus::unavailable) << "what it depends on is still to be read";
   loop_.pass(kSettledS);
   EXPECT_TRUE(index_.is_cancelled(job_id(5)));
   EXPECT_FALSE(index_.is_cancelled(job_id(6)));
-  EXPECT_FALSE(index_.dependencies().released(job_id(6))) << "a dependency that has no record is not done";
+  EXPECT_FALSE(index_.dependencies().ready(job_id(6))) << "a dependency that has no record is not done";
 }
 
 TEST_F(JobIndexTest, TheCatalogueIsTakenInAndOneThatCannotBeReadChangesNothing) {
-  wire::Flavor machine_type;
+  wire::MachineType machine_type;
   machine_type.name = "m";
-  machine_type.size = {8, 0, 32};
-  machine_type.rack_rooms = {"a"};
+  machine_type.capacity = {8, 0, 32};
+  machine_type.zones = {"a"};
   EXPECT_TRUE(index_.machine_types().empty());
-  index_.apply({{wire::kCatalogueKey, to_json(std::vector<wire::Flavor>{machine_type}), Stamp{1}}});
+  index_.apply(
+      {{wire::kCatalogueKey, to_json(std::vector<wire::MachineType>{machine_type}), KeyRevision{1}}});
   ASSERT_EQ(index_.machine_types().size(), 1U);
   EXPECT_EQ(index_.machine_types().front().name, "m");
-  index_.apply({{wire::kCatalogueKey, Json("damaged"), Stamp{2}}});
+  index_.apply({{wire::kCatalogueKey, Json("damaged"), KeyRevision{2}}});
   EXPECT_EQ(index_.machine_types().size(), 1U);
 }
 
--- a/tests/largest_test.cpp
+++ b/tests/largest_test.cpp
@@ -1,17 +1,16 @@
 // The largest jobs of a class are served too: which they are, their turns, room kept for them, and whole
 // floods with several controllers.
-#include "queue/largest.hpp"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <random>
 
-#include "queue/kept_room.hpp"
-#include "shares/turns.hpp"
+#include "fair_share/fair_share_order.hpp"
+#include "queue/backfill_reservations.hpp"
+#include "queue/largest_jobs.hpp"
 #include "sim/jobs.hpp"
 #include "sim/scenario.hpp"
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace bankhill {
 namespace {
@@ -19,14 +18,14 @@
 using sim::broke_rule;
 using sim::listing;
 using sim::SimJob;
+using sim::SimulatedCluster;
 using sim::small_batch;
-using sim::World;
 
 model::Job sized(const std::string& kind, std::uint32_t tasks, double cores, double at) {
   model::Job job;
-  job.spec.queue = kind;
-  job.spec.members = tasks;
-  job.spec.need = {cores, 0, 1};
+  job.spec.job_class = kind;
+  job.spec.task_count = tasks;
+  job.spec.request = {cores, 0, 1};
   job.accepted_at = at;
   return job;
 }
@@ -39,22 +38,22 @@
     std::vector<model::Job> jobs;
     for (int i = 0; i < 1500; ++i)
       jobs.push_back(sized("night", 1 + static_cast<std::uint32_t>(sizes(random)), 4, 0.3 * i));
-    queue::Largest first(0.1, 240);
+    queue::LargestJobs first(0.1, 240);
     for (const auto& job : jobs) first.came(job);
     auto mixed = jobs;
     std::shuffle(mixed.begin(), mixed.end(), random);
-    queue::Largest second(0.1, 240);
+    queue::LargestJobs second(0.1, 240);
     for (const auto& job : mixed) second.came(job);
     int count = 0;
     std::uint32_t least = 1000;
     std::uint32_t most_other = 0;
     for (const auto& job : jobs) {
-      EXPECT_EQ(first.is(job), second.is(job)) << "seed " << seed << ", " << job.spec.members;
+      EXPECT_EQ(first.is(job), second.is(job)) << "seed " << seed << ", " << job.spec.task_count;
       count += first.is(job) ? 1 : 0;
       if (first.is(job))
-        least = std::min(least, job.spec.members);
+        least = std::min(least, job.spec.task_count);
       else
-        most_other = std::max(most_other, job.spec.members);
+        most_other = std::max(most_other, job.spec.task_count);
     }
     EXPECT_GT(count, 100) << "seed " << seed;
     EXPECT_LT(count, 230) << "seed " << seed;
@@ -64,7 +63,7 @@
 
 // Of a class whose jobs are all alike none is the largest: they all would go before each other.
 TEST(LargestTest, OfEqualsNoneUnlessFewCame) {
-  queue::Largest largest(0.1, 240);
+  queue::LargestJobs largest(0.1, 240);
   for (int i = 0; i < 100; ++i) largest.came(sized("alike", 8, 1, i));
   EXPECT_FALSE(largest.is(sized("alike", 8, 1, 100)));
   EXPECT_TRUE(largest.is(sized("alike", 8, 16, 100)));  // by cores a task
@@ -75,7 +74,7 @@
 
 // Sizes of an hour ago are those of another crowd.
 TEST(LargestTest, WhatCameLongAgoCountsNoMore) {
-  queue::Largest largest(0.1, 240);
+  queue::LargestJobs largest(0.1, 240);
   for (int i = 0; i < 100; ++i) largest.came(sized("night", 1000, 1, i));
   for (int i = 0; i < 100; ++i) largest.came(sized("night", i % 20 == 0 ? 100 : 10, 1, 4000 + i));
   EXPECT_TRUE(largest.is(sized("night", 100, 1, 4100)));
@@ -85,11 +84,11 @@
 // Many small ones and some large ones of one class, a few cores: the large ones have their part of them all
 // the time, whatever comes, and the small ones all the rest.
 TEST(LargestTest, HaveTheirPartOfTheirPartysTurns) {
-  const shares::Party party{"red", "night"};
-  std::vector<shares::Waiting> waiting;
+  const fair_share::Party party{"red", "night"};
+  std::vector<fair_share::Waiting> waiting;
   for (int i = 0; i < 100; ++i) waiting.push_back({party, 10, 100, false, 1.0 * i, false});
   for (int i = 0; i < 20; ++i) waiting.push_back({party, 100, 5000, false, 1.0 * i, true});
-  const auto turn = shares::turns(waiting, {}, {{"red", 10}}, 0.25);
+  const auto turn = fair_share::fair_share_order(waiting, {}, {{"red", 10}}, 0.25);
   std::vector<std::size_t> order(waiting.size());
   for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
   std::sort(order.begin(), order.end(), [&](auto a, auto b) { return turn[a] < turn[b]; });
@@ -102,61 +101,61 @@
     EXPECT_NEAR(large, 0.25 * all, 100) << all;
   }
   // They hold more than their part: the others first.
-  const auto held =
-      shares::turns(waiting, {{{party, true}, 1000}, {{party, false}, 1000}}, {{"red", 10}}, 0.25);
+  const auto held = fair_share::fair_share_order(waiting, {{{party, true}, 1000}, {{party, false}, 1000}},
+                                                 {{"red", 10}}, 0.25);
   EXPECT_LT(*std::max_element(held.begin(), held.begin() + 100),
             *std::min_element(held.begin() + 100, held.end()));
 }
 
 TEST(KeptRoomTest, KeepsAMachineForOneAndLetsShorterOnesUseItMeanwhile) {
-  queue::KeptRoom room({3, 60, 2});
+  queue::BackfillReservations room({3, 60, 2});
   const wire::JobId big{"big"};
   const wire::JobId small{"small"};
-  const wire::HostId host{"host"};
+  const wire::MachineId machine_id{"host"};
   EXPECT_FALSE(room.wants(big, 0));
   EXPECT_TRUE(room.wants(big, 3));
-  room.keep(big, host, 20);
+  room.reserve(big, machine_id, 20);
   EXPECT_FALSE(room.wants(big, 4));
-  EXPECT_TRUE(room.allows(host, big, 4, 500));
-  EXPECT_TRUE(room.allows(host, small, 4, 15));
-  EXPECT_FALSE(room.allows(host, small, 4, 17));
-  EXPECT_TRUE(room.allows(wire::HostId{"other"}, small, 4, 17));
+  EXPECT_TRUE(room.allows(machine_id, big, 4, 500));
+  EXPECT_TRUE(room.allows(machine_id, small, 4, 15));
+  EXPECT_FALSE(room.allows(machine_id, small, 4, 17));
+  EXPECT_TRUE(room.allows(wire::MachineId{"other"}, small, 4, 17));
   // What should have ended there goes on: all may use it again, and another is chosen.
-  EXPECT_FALSE(room.allows(host, small, 80, 1));
-  EXPECT_TRUE(room.allows(host, small, 81, 500));
+  EXPECT_FALSE(room.allows(machine_id, small, 80, 1));
+  EXPECT_TRUE(room.allows(machine_id, small, 81, 500));
   EXPECT_TRUE(room.wants(big, 81));
-  room.keep(big, host, 100);
-  room.lose(host);
+  room.reserve(big, machine_id, 100);
+  room.drop_machine(machine_id);
   EXPECT_TRUE(room.wants(big, 82));
   // No more than two at a time, and one that asks no more gives its machine back.
-  room.keep(big, host, 100);
+  room.reserve(big, machine_id, 100);
   EXPECT_FALSE(room.wants(small, 82));
   EXPECT_FALSE(room.wants(wire::JobId{"third"}, 90));
   EXPECT_FALSE(room.wants(wire::JobId{"third"}, 150));
-  EXPECT_FALSE(room.kept(host));
+  EXPECT_FALSE(room.reserved(machine_id));
   EXPECT_TRUE(room.wants(wire::JobId{"third"}, 153));
   room.release(wire::JobId{"third"});
   EXPECT_EQ(room.size(), 0U);
 }
 
-SimJob array(const std::string& owner, std::uint32_t members, double cores, double run_s) {
-  auto job = small_batch(members, cores, run_s, owner);
-  job.spec.need.ram_gb = 1;
+SimJob array(const std::string& team, std::uint32_t members, double cores, double run_s) {
+  auto job = small_batch(members, cores, run_s, team);
+  job.spec.request.ram_gb = 1;
   return job;
 }
 
 // Three machines of four cores, and a job of three tasks of ten seconds each second: two and a half times as
 // much as can be had.
 struct Flood {
-  World world;
+  SimulatedCluster world;
   std::string large;
   explicit Flood(std::uint64_t seed) : world(seed) {
     world.cloud().machine_limit = 3;
     world.run(5);
   }
-  void come(const std::string& owner, double until) {
+  void come(const std::string& team, double until) {
     for (double time = world.now(); time < until; time += 1)
-      world.at(time, [this, owner] { world.submit(array(owner, 3, 1, 10)); });
+      world.at(time, [this, team] { world.submit(array(team, 3, 1, 10)); });
   }
   const SimJob& job() { return world.jobs().at(large); }
   void expect_begun_in_time() {
@@ -193,12 +192,12 @@
   for (double time = 5; time < 330; time += 3)
     flood.world.at(time, [&flood] {
       auto job = array("red", 4, 1, 10);
-      job.spec.due_s = 60;
+      job.spec.deadline_s = 60;
       flood.world.submit(job);
     });
   flood.world.run(40);
   auto late = array("red", 40, 1, 10);
-  late.spec.due_s = 5;
+  late.spec.deadline_s = 5;
   flood.large = flood.world.submit(late);
   flood.world.run(330);
   flood.expect_begun_in_time();
@@ -251,25 +250,25 @@
 }
 
 TEST(Checker, SeesWhatIsNotServed) {
-  World world(53);
-  world.run(5);
-  for (int i = 0; i < 12; ++i) world.submit(array("red", 1, 1, 3));
-  world.run(60);
-  world.check_served();
-  ASSERT_TRUE(world.broken().empty()) << listing(world.broken());
+  SimulatedCluster cluster(53);
+  cluster.run(5);
+  for (int i = 0; i < 12; ++i) cluster.submit(array("red", 1, 1, 3));
+  cluster.run(60);
+  cluster.check_served();
+  ASSERT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
   // Nobody can start it: it is of a type that the cloud does not have.
   auto never = array("red", 50, 1, 3);
-  never.spec.flavors = std::vector<std::string>{"none"};
-  world.submit(never);
-  world.run(200);
-  world.check_served(240, 0);
-  EXPECT_FALSE(broke_rule(world, "unserved")) << "called late before its time";
-  world.run(310);
-  world.check_served(240, 0);
-  EXPECT_TRUE(broke_rule(world, "unserved")) << "not begun in time";
-  world.broken().clear();
-  world.check_served(1000, 0.5);
-  EXPECT_NE(listing(world.broken()).find("largest of any: 0"), std::string::npos)
+  never.spec.machine_types = std::vector<std::string>{"none"};
+  cluster.submit(never);
+  cluster.run(200);
+  cluster.check_served(240, 0);
+  EXPECT_FALSE(broke_rule(cluster, "unserved")) << "called late before its time";
+  cluster.run(310);
+  cluster.check_served(240, 0);
+  EXPECT_TRUE(broke_rule(cluster, "unserved")) << "not begun in time";
+  cluster.broken().clear();
+  cluster.check_served(1000, 0.5);
+  EXPECT_NE(listing(cluster.broken()).find("largest of any: 0"), std::string::npos)
       << "none of the largest done";
 }
 
--- a/tests/machine_monitor_test.cpp
+++ b/tests/machine_monitor_test.cpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "manual_loop.hpp"
-#include "model/cancel_budget.hpp"
+#include "model/cancellation_bound.hpp"
 
 namespace bankhill::leader {
 namespace {
@@ -31,34 +31,34 @@
 
   // One that takes tasks and was heard just now.
   Machine& add_machine(const std::string& name) {
-    auto& machine = *fleet_.add(wire::HostId{name}).first;
-    machine.rack_room = "zone-a";
+    auto& machine = *fleet_.add(wire::MachineId{name}).first;
+    machine.zone = "zone-a";
     machine.up = machine.recorded = machine.confirmed = true;
     machine.first_seen = loop_.now();
     hear(machine);
     return machine;
   }
   Machine& add_booting(const std::string& name) {
-    auto& machine = *fleet_.add(wire::HostId{name}).first;
+    auto& machine = *fleet_.add(wire::MachineId{name}).first;
     machine.first_seen = loop_.now();
     fleet_.refresh(machine);
     return machine;
   }
   // A heartbeat that is answered.
   void hear(Machine& machine) {
-    machine.last_contact = machine.reported_at = machine.last_report = loop_.now();
-    machine.lease.renewed(loop_.now());
+    machine.last_contact = machine.heartbeat_at = machine.last_heartbeat = loop_.now();
+    machine.lease.renewed_at(loop_.now());
     machine.probes_unanswered = 0;
-    machine.quiet = machine.lost = false;
+    machine.overdue = machine.lease_expired = false;
     fleet_.refresh(machine);
   }
   void bind_service(Machine& machine) {
     machine.service_cores = 1;
-    machine.binds[{wire::JobId{"job"}, 0}].service = true;
+    machine.assignments[{wire::JobId{"job"}, 0}].service = true;
   }
   void lose_downlink(Machine& machine) {
-    machine.hearing.lost_order(loop_.now());
-    machine.hearing.direct(loop_.now(), monitor_.timing(), false);
+    machine.downlink.command_unanswered(loop_.now());
+    machine.downlink.probe_ended(loop_.now(), monitor_.timing(), false);
     fleet_.refresh(machine);
   }
   void check(Machine& machine, bool reachability_in_doubt = false) {
@@ -87,13 +87,13 @@
       fleet_,
       {.send_probe =
            [this](Machine& machine) {
-             probes_.push_back(machine.host.value);
+             probes_.push_back(machine.id.value);
              machine.last_probe = loop_.now();
            },
        .terminate =
            [this](Machine& machine, Fault fault) {
-             if (std::exchange(machine.releasing, true)) return;
-             terminated_.emplace_back(machine.host.value, fault);
+             if (std::exchange(machine.terminating, true)) return;
+             terminated_.emplace_back(machine.id.value, fault);
              fleet_.refresh(machine);
            },
        .drain =
@@ -102,10 +102,10 @@
              drained_.push_back(reason);
            },
        .sessions_over =
-           [this](Machine& machine, wire::Tenure next) {
-             sessions_over_.emplace_back(machine.host.value, next.value);
+           [this](Machine& machine, wire::AgentEpoch next) {
+             sessions_over_.emplace_back(machine.id.value, next.value);
            },
-       .lost_to_cloud = [this](const Machine& machine) { lost_to_cloud_.push_back(machine.host.value); },
+       .lost_to_cloud = [this](const Machine& machine) { lost_to_cloud_.push_back(machine.id.value); },
        .usual_boot_s = [](const Machine&) { return kUsualBootS; },
        .count_event = [this](const std::string& event) { ++events_[event]; },
        .plan_soon = [this] { ++plans_; },
@@ -118,11 +118,11 @@
   auto& machine = add_booting("a");
   loop_.pass(1.6 * kUsualBootS);
   monitor_.check_boot(machine);
-  EXPECT_FALSE(machine.late);
+  EXPECT_FALSE(machine.boot_overdue);
   loop_.pass(0.25);
   monitor_.check_boot(machine);
-  EXPECT_TRUE(machine.late);
-  EXPECT_EQ(fleet_.total().coming, 0U);
+  EXPECT_TRUE(machine.boot_overdue);
+  EXPECT_EQ(fleet_.total().booting, 0U);
   EXPECT_EQ(plans_, 1);
   loop_.pass(1.4 * kUsualBootS - 0.25);
   monitor_.check_boot(machine);
@@ -140,12 +140,12 @@
   loop_.pass(5);
   check(machine);
   EXPECT_TRUE(probes_.empty());
-  EXPECT_FALSE(machine.quiet);
+  EXPECT_FALSE(machine.overdue);
   loop_.pass(0.25);
   check(machine);
   EXPECT_EQ(probes_.size(), 1U);
-  EXPECT_TRUE(machine.quiet);
-  EXPECT_EQ(fleet_.total().quiet, 1U);
+  EXPECT_TRUE(machine.overdue);
+  EXPECT_EQ(fleet_.total().overdue, 1U);
   loop_.pass(3);
   check(machine);
   EXPECT_EQ(probes_.size(), 1U);
@@ -160,10 +160,10 @@
   loop_.pass(1.75);
   check(machine);
   EXPECT_EQ(probes_.size(), 1U);
-  EXPECT_FALSE(machine.quiet);
+  EXPECT_FALSE(machine.overdue);
   leave_unanswered(machine, 1);
   check(machine);
-  EXPECT_TRUE(machine.quiet);
+  EXPECT_TRUE(machine.overdue);
 }
 
 TEST_F(MachineMonitorTest, NothingIsStartedWhereHeartbeatsAreOverdueUntilTheyComeAgain) {
@@ -172,12 +172,12 @@
   loop_.pass(18.25);
   machine.last_contact = loop_.now();  // it answers probes
   check(machine);
-  EXPECT_EQ(machine.reporting, model::Reporting::overdue);
+  EXPECT_EQ(machine.uplink, model::UplinkState::overdue);
   EXPECT_FALSE(machine.takes_tasks());
   EXPECT_EQ(std::pair(plans_, placements_), std::pair(1, 1));
-  machine.reported_at = loop_.now();
+  machine.heartbeat_at = loop_.now();
   monitor_.update_reporting(machine);
-  EXPECT_EQ(machine.reporting, model::Reporting::comes);
+  EXPECT_EQ(machine.uplink, model::UplinkState::up);
   EXPECT_EQ(machine.idle_since, loop_.now());  // it is not returned as idle at once
   EXPECT_EQ(std::pair(plans_, placements_), std::pair(2, 2));
 }
@@ -187,10 +187,10 @@
   loop_.pass(18.25);
   monitor_.listens_from_now();
   monitor_.update_reporting(machine);
-  EXPECT_EQ(machine.reporting, model::Reporting::comes);
+  EXPECT_EQ(machine.uplink, model::UplinkState::up);
   loop_.pass(18.25);
   monitor_.update_reporting(machine);
-  EXPECT_EQ(machine.reporting, model::Reporting::overdue);
+  EXPECT_EQ(machine.uplink, model::UplinkState::overdue);
 }
 
 TEST_F(MachineMonitorTest, HeartbeatsMissedInAnEarlierTermTellNothing) {
@@ -198,26 +198,26 @@
   loop_.pass(18.25);
   monitor_.begin_term();
   monitor_.update_reporting(machine);
-  EXPECT_EQ(machine.reporting, model::Reporting::comes);
+  EXPECT_EQ(machine.uplink, model::UplinkState::up);
 }
 
 // The lease.
 
 TEST_F(MachineMonitorTest, AnExpiredLeaseEndsTheSessionOnce) {
   auto& machine = add_machine("a");
-  machine.tenure.value = 7;
-  machine.counter = machine.reported = 100;
+  machine.agent_epoch.value = 7;
+  machine.sequence = machine.heartbeat_sequence = 100;
   loop_.pass(kLeaseS * model::kDriftAllowance + model::kAllowanceS - 0.25);
   check(machine);
-  EXPECT_FALSE(machine.lost);
+  EXPECT_FALSE(machine.lease_expired);
   loop_.pass(0.5);
   check(machine);
   check(machine);
-  EXPECT_TRUE(machine.lost);
+  EXPECT_TRUE(machine.lease_expired);
   EXPECT_EQ(sessions_over_, (std::vector<std::pair<std::string, std::uint64_t>>{{"a", 8}}));
-  EXPECT_EQ(machine.tenure.value, 8U);
-  EXPECT_EQ(machine.counter, 0U);
-  EXPECT_EQ(machine.reported, 0U);
+  EXPECT_EQ(machine.agent_epoch.value, 8U);
+  EXPECT_EQ(machine.sequence, 0U);
+  EXPECT_EQ(machine.heartbeat_sequence, 0U);
   EXPECT_TRUE(drained_.empty());
 }
 
@@ -342,10 +342,10 @@
 
 TEST_F(MachineMonitorTest, ASilentPreemptibleMachineCountsAsTakenByTheCloud) {
   auto& machine = add_machine("a");
-  machine.reclaimable = true;
+  machine.preemptible = true;
   auto& warned = add_machine("b");
-  warned.reclaimable = true;
-  warned.warned_until = loop_.now() + 100;  // counted when its notice came
+  warned.preemptible = true;
+  warned.preemption_at = loop_.now() + 100;  // counted when its notice came
   for (int i = 0; i < 4; ++i) add_machine("heard-" + std::to_string(i));
   loop_.pass(9.25);
   monitor_.note_direct_contact();
@@ -419,7 +419,7 @@
   hear(machine);
   check(machine);
   EXPECT_TRUE(terminated_.empty());
-  machine.binds.clear();
+  machine.assignments.clear();
   check(machine);
   EXPECT_EQ(terminated_, (Terminated{{"a", Fault::downlink_lost}}));
 }
@@ -437,20 +437,20 @@
 
 TEST_F(MachineMonitorTest, ChangesOfTheDownlinkAreCountedAndPlannedFor) {
   auto& machine = add_machine("a");
-  auto before = machine.hearing.state();
+  auto before = machine.downlink.state();
   monitor_.downlink_changed(machine, before);  // no change
   EXPECT_TRUE(events_.empty());
-  machine.hearing.lost_order(loop_.now());
-  monitor_.downlink_changed(machine, std::exchange(before, machine.hearing.state()));
+  machine.downlink.command_unanswered(loop_.now());
+  monitor_.downlink_changed(machine, std::exchange(before, machine.downlink.state()));
   EXPECT_EQ(events_["machines asked whether they hear"], 1);
   EXPECT_EQ(std::pair(plans_, placements_), std::pair(0, 0));
-  machine.hearing.direct(loop_.now(), monitor_.timing(), false);
-  monitor_.downlink_changed(machine, std::exchange(before, machine.hearing.state()));
+  machine.downlink.probe_ended(loop_.now(), monitor_.timing(), false);
+  monitor_.downlink_changed(machine, std::exchange(before, machine.downlink.state()));
   EXPECT_EQ(events_["deaf machines"], 1);
   EXPECT_EQ(std::pair(plans_, placements_), std::pair(1, 0));
   loop_.pass(10);
-  machine.hearing.direct(loop_.now(), monitor_.timing(), true);
-  monitor_.downlink_changed(machine, std::exchange(before, machine.hearing.state()));
+  machine.downlink.probe_ended(loop_.now(), monitor_.timing(), true);
+  monitor_.downlink_changed(machine, std::exchange(before, machine.downlink.state()));
   EXPECT_EQ(events_["deaf machines that hear again"], 1);
   EXPECT_EQ(std::pair(plans_, placements_), std::pair(1, 1));
   EXPECT_EQ(machine.idle_since, loop_.now());
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -10,22 +10,22 @@
 namespace {
 
 Offer offer(const std::string& name, double cores, double rate, double low, bool spot = true) {
-  wire::Flavor flavor;
-  flavor.name = name;
-  flavor.size = {cores, 0, cores * 4};
-  flavor.rate = rate;
-  flavor.low_price = low;
-  flavor.boot_s = 30;
-  flavor.rack_rooms = {"a"};
-  return {flavor, spot};
+  wire::MachineType machine_type;
+  machine_type.name = name;
+  machine_type.capacity = {cores, 0, cores * 4};
+  machine_type.hourly_price = rate;
+  machine_type.preemptible_hourly_price = low;
+  machine_type.boot_s = 30;
+  machine_type.zones = {"a"};
+  return {machine_type, spot};
 }
 
 Work work(double cores, double tasks, double task_s, bool reclaimable) {
   Work item;
-  item.need = {cores, 0, 1};
+  item.request = {cores, 0, 1};
   item.tasks = tasks;
   item.task_s = item.window_s = task_s;
-  item.reclaimable = reclaimable;
+  item.allows_preemptible = reclaimable;
   return item;
 }
 
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -10,7 +10,7 @@
 #include "app/settings.hpp"
 #include "sim/jobs.hpp"
 #include "sim/scenario.hpp"
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace bankhill {
 namespace {
@@ -70,21 +70,21 @@
 // Ordered: the first rule that matches decides.
 TEST(Policy, Tiers) {
   const auto read = good();
-  EXPECT_EQ(read.tier("red", "night", wire::Rank::high, false), 2);
-  EXPECT_EQ(read.tier("red", "night", wire::Rank::normal, false), 1);
-  EXPECT_EQ(read.tier("red", "night", wire::Rank::normal, true), 1);
-  EXPECT_EQ(read.tier("red", "day", wire::Rank::normal, true), -1);
-  EXPECT_EQ(read.tier("red", "day", wire::Rank::normal, false), 0);
-  EXPECT_EQ(read.tier("guest", "day", wire::Rank::high, true), 0);
+  EXPECT_EQ(read.tier("red", "night", wire::Priority::high, false), 2);
+  EXPECT_EQ(read.tier("red", "night", wire::Priority::normal, false), 1);
+  EXPECT_EQ(read.tier("red", "night", wire::Priority::normal, true), 1);
+  EXPECT_EQ(read.tier("red", "day", wire::Priority::normal, true), -1);
+  EXPECT_EQ(read.tier("red", "day", wire::Priority::normal, false), 0);
+  EXPECT_EQ(read.tier("guest", "day", wire::Priority::high, true), 0);
 }
 
 TEST(Policy, RecordsGiveBackWhatWasWritten) {
   const auto read = good();
   Policy copy(read.version());
-  for (const auto& [owner, tenant] : read.tenants()) {
+  for (const auto& [team, tenant] : read.tenants()) {
     const auto json = wire::Json::parse(to_json(tenant).dump());
     EXPECT_EQ(policy::parse_tenant(json), tenant) << json;
-    copy.set(owner, policy::parse_tenant(json));
+    copy.set(team, policy::parse_tenant(json));
   }
   EXPECT_EQ(copy.fingerprint(), read.fingerprint());
   auto other = read.tenants().at("blue");
@@ -102,7 +102,7 @@
        R"({"calendars":[{"name":"a","zone":"Europe/Oslo","classes":["x"],"days_off":["2027-02-30"]}]})",
        R"({"calendars":[{"name":"a","zone":"Europe/Oslo","classes":["x"],"weekly":[{"days":[7],"at_s":1}]}]})",
        R"({"calendars":[{"name":"a","zone":"Europe/Oslo","classes":["x"],"weekly":[{"days":[1],"at_s":90000}]}]})"})
-    EXPECT_THROW(policy::parse_tenant(wire::Json::parse(text)), wire::Malformed) << text;
+    EXPECT_THROW(policy::parse_tenant(wire::Json::parse(text)), wire::ProtocolError) << text;
 }
 
 // A zone that this machine does not know costs its calendar, not the rest.
@@ -181,7 +181,7 @@
     try {
       policy::parse_policy(text, kSite);
       ADD_FAILURE() << fault.to << " is taken";
-    } catch (const policy::BadPolicy& error) {
+    } catch (const policy::PolicyError& error) {
       EXPECT_NE(std::string(error.what()).find(fault.line), std::string::npos)
           << fault.to << ": " << error.what();
       EXPECT_NE(std::string(error.what()).find(fault.what), std::string::npos)
@@ -195,10 +195,10 @@
   const std::string more =
       "        - { name: other, zone: Europe/Oslo, classes: [night], dates: [2027-01-01] }\n";
   text.insert(text.find("      tiers:"), more);
-  EXPECT_THROW(policy::parse_policy(text, kSite), policy::BadPolicy);
+  EXPECT_THROW(policy::parse_policy(text, kSite), policy::PolicyError);
   text = kFile;
   text.insert(text.find("          dates:"), "            - { days: [fri, sat], at: \"08:00\" }\n");
-  EXPECT_THROW(policy::parse_policy(text, kSite), policy::BadPolicy);
+  EXPECT_THROW(policy::parse_policy(text, kSite), policy::PolicyError);
 }
 
 }  // namespace
@@ -225,13 +225,13 @@
 
 SimJob batch(std::uint32_t members, double cores, double run_s) {
   auto job = kept_batch(members, cores, run_s);
-  job.spec.need.ram_gb = 1;
-  job.spec.reclaimable = true;
+  job.spec.request.ram_gb = 1;
+  job.spec.allows_preemptible = true;
   return job;
 }
 
-std::optional<double> stored_cutoff(const World& world, const std::string& uid) {
-  return wire::parse_job_record(world.keys().at(wire::job_key({uid})).data).cutoff;
+std::optional<double> stored_cutoff(const SimulatedCluster& cluster, const std::string& job_id) {
+  return wire::parse_job_record(cluster.keys().at(wire::job_key({job_id})).data).cutoff;
 }
 
 constexpr double kWall = 1.8e9;
@@ -241,199 +241,200 @@
 // A newer file is stored by whoever comes with it; all follow; an older file, or none, does no harm, and
 // nothing is written while nothing changes.
 TEST_P(Policies, TheRecordsRuleNotTheFile) {
-  World world(5, GetParam());
-  deploy_policy(world, file(1, {30}));
-  world.run(20);
-  const auto stamp = world.keys().at(wire::kPolicyKey).stamp;
-  for (int node = 0; node < world.nodes(); ++node) {
-    EXPECT_EQ(world.policy(node)->version(), 1U);
-    EXPECT_TRUE(world.policy(node)->cutoff("red", "any", kWall));
+  SimulatedCluster cluster(5, GetParam());
+  deploy_policy(cluster, file(1, {30}));
+  cluster.run(20);
+  const auto revision = cluster.keys().at(wire::kPolicyKey).revision;
+  for (int node = 0; node < cluster.nodes(); ++node) {
+    EXPECT_EQ(cluster.policy(node)->version(), 1U);
+    EXPECT_TRUE(cluster.policy(node)->cutoff("red", "any", kWall));
   }
-  world.run(80);
-  EXPECT_EQ(world.keys().at(wire::kPolicyKey).stamp, stamp) << "written again though nothing changed";
-  EXPECT_EQ(world.keys().at(wire::policy_key("red")).stamp, stamp);
-
-  world.operator_files[1] = file(2, {40}, 0, "    blue:\n      spans: { any: 2 }\n");
-  world.crash(1, 1);
-  world.run(100);
-  world.operator_files.erase(2);
-  world.crash(2, 1);
-  world.crash(0, 1);  // with the file of before
-  world.run(130);
-  for (int node = 0; node < world.nodes(); ++node) {
-    EXPECT_EQ(world.policy(node)->version(), 2U);
-    EXPECT_EQ(world.policy(node)->cutoff("red", "any", kWall), kWall + 40 * 60);
-    EXPECT_EQ(world.policy(node)->span("blue", "any"), 2U);
+  cluster.run(80);
+  EXPECT_EQ(cluster.keys().at(wire::kPolicyKey).revision, revision) << "written again though nothing changed";
+  EXPECT_EQ(cluster.keys().at(wire::policy_key("red")).revision, revision);
+
+  cluster.operator_files[1] = file(2, {40}, 0, "    blue:\n      spans: { any: 2 }\n");
+  cluster.crash(1, 1);
+  cluster.run(100);
+  cluster.operator_files.erase(2);
+  cluster.crash(2, 1);
+  cluster.crash(0, 1);  // with the file of before
+  cluster.run(130);
+  for (int node = 0; node < cluster.nodes(); ++node) {
+    EXPECT_EQ(cluster.policy(node)->version(), 2U);
+    EXPECT_EQ(cluster.policy(node)->cutoff("red", "any", kWall), kWall + 40 * 60);
+    EXPECT_EQ(cluster.policy(node)->span("blue", "any"), 2U);
   }
   // What the newer file lacks is gone, and does not come back with the older one.
-  world.operator_files[1] = file(3, {50});
-  world.crash(1, 1);
-  world.run(150);
-  world.operator_files[0] = file(2, {40}, 0, "    blue:\n      spans: { any: 2 }\n");
-  world.crash(0, 1);
-  world.run(180);
-  for (int node = 0; node < world.nodes(); ++node) EXPECT_EQ(world.policy(node)->span("blue", "any"), 1U);
-  EXPECT_FALSE(world.keys().contains(wire::policy_key("blue")));
-  EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
+  cluster.operator_files[1] = file(3, {50});
+  cluster.crash(1, 1);
+  cluster.run(150);
+  cluster.operator_files[0] = file(2, {40}, 0, "    blue:\n      spans: { any: 2 }\n");
+  cluster.crash(0, 1);
+  cluster.run(180);
+  for (int node = 0; node < cluster.nodes(); ++node) EXPECT_EQ(cluster.policy(node)->span("blue", "any"), 1U);
+  EXPECT_FALSE(cluster.keys().contains(wire::policy_key("blue")));
+  EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 INSTANTIATE_TEST_SUITE_P(Sites, Policies, testing::Values(3, 5));
 
 // Two files of one version: the first one stands, at all controllers.
 TEST(PolicySim, TwoFilesOfOneVersion) {
-  World world(7);
-  for (int node = 0; node < world.nodes(); ++node) {
-    world.operator_files[node] =
+  SimulatedCluster cluster(7);
+  for (int node = 0; node < cluster.nodes(); ++node) {
+    cluster.operator_files[node] =
         file(1, {node == 0 ? 30 : 40}, 0, node == 0 ? "" : "    blue:\n      spans: { any: 2 }\n");
-    world.crash(node, 0);
+    cluster.crash(node, 0);
   }
-  world.run(30);
-  const auto first = world.keys().at(wire::kPolicyKey);
-  for (int node = 0; node < world.nodes(); ++node) {
-    EXPECT_EQ(world.policy(node)->cutoff("red", "any", kWall), world.policy(0)->cutoff("red", "any", kWall));
-    EXPECT_EQ(world.policy(node)->span("blue", "any"), world.policy(0)->span("blue", "any"));
+  cluster.run(30);
+  const auto first = cluster.keys().at(wire::kPolicyKey);
+  for (int node = 0; node < cluster.nodes(); ++node) {
+    EXPECT_EQ(cluster.policy(node)->cutoff("red", "any", kWall),
+              cluster.policy(0)->cutoff("red", "any", kWall));
+    EXPECT_EQ(cluster.policy(node)->span("blue", "any"), cluster.policy(0)->span("blue", "any"));
   }
-  for (int node = 0; node < world.nodes(); ++node) world.crash(node, 1);
-  world.run(60);
-  EXPECT_EQ(world.keys().at(wire::kPolicyKey).stamp, first.stamp);
-  EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
+  for (int node = 0; node < cluster.nodes(); ++node) cluster.crash(node, 1);
+  cluster.run(60);
+  EXPECT_EQ(cluster.keys().at(wire::kPolicyKey).revision, first.revision);
+  EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 
 // A record that cannot be read changes nothing in force; a newer file puts it right.
 TEST(PolicySim, UnreadableRecordsLeaveTheLastGoodOne) {
-  World world(9);
-  deploy_policy(world, file(1, {30}));
-  world.run(20);
-  world.write(wire::policy_key("red"), {{"calendars", 7}});
-  world.write(wire::policy_key("blue"), "nonsense");
-  world.run(25);
-  for (int node = 0; node < world.nodes(); ++node)
-    EXPECT_EQ(world.policy(node)->cutoff("red", "any", kWall), kWall + 30 * 60);
-  world.run(60);
+  SimulatedCluster cluster(9);
+  deploy_policy(cluster, file(1, {30}));
+  cluster.run(20);
+  cluster.write(wire::policy_key("red"), {{"calendars", 7}});
+  cluster.write(wire::policy_key("blue"), "nonsense");
+  cluster.run(25);
+  for (int node = 0; node < cluster.nodes(); ++node)
+    EXPECT_EQ(cluster.policy(node)->cutoff("red", "any", kWall), kWall + 30 * 60);
+  cluster.run(60);
   // Its file is of this version and complete: what was overwritten is put right by any controller.
-  EXPECT_EQ(policy::parse_tenant(world.keys().at(wire::policy_key("red")).data),
-            world.policy(0)->tenants().at("red"));
-  world.write(wire::kPolicyKey, 12);
-  world.operator_files[1] = file(2, {40});
-  world.crash(1, 1);
-  world.run(90);
-  for (int node = 0; node < world.nodes(); ++node)
-    EXPECT_EQ(world.policy(node)->cutoff("red", "any", kWall), kWall + 40 * 60);
-  EXPECT_EQ(world.leaders(), 1);
-  EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
+  EXPECT_EQ(policy::parse_tenant(cluster.keys().at(wire::policy_key("red")).data),
+            cluster.policy(0)->tenants().at("red"));
+  cluster.write(wire::kPolicyKey, 12);
+  cluster.operator_files[1] = file(2, {40});
+  cluster.crash(1, 1);
+  cluster.run(90);
+  for (int node = 0; node < cluster.nodes(); ++node)
+    EXPECT_EQ(cluster.policy(node)->cutoff("red", "any", kWall), kWall + 40 * 60);
+  EXPECT_EQ(cluster.leaders(), 1);
+  EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 
 // What does not fit a value is not stored, and holds up nothing.
 TEST(PolicySim, TooLargeAFileIsNotUsed) {
-  World world(11);
-  deploy_policy(world, file(1, {30}));
-  world.run(20);
+  SimulatedCluster cluster(11);
+  deploy_policy(cluster, file(1, {30}));
+  cluster.run(20);
   std::string days = "          days_off: [";
   for (int i = 0; i < 900; ++i) {
     char day[64];
     std::snprintf(day, sizeof day, "%d-%02d-%02d, ", 2028 + i / 336, 1 + i / 28 % 12, 1 + i % 28);
     days += day;
   }
-  deploy_policy(world, file(2, {40}, 0, days + "2027-12-24]\n"));
-  world.run(25);
-  const auto uid = world.submit(batch(4, 1, 5));
-  world.run(60);
-  EXPECT_EQ(world.policy(0)->version(), 1U);
-  EXPECT_EQ(world.state_service().transactions_refused, 0U);
-  EXPECT_TRUE(world.jobs().at(uid).told_done);
-  EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
+  deploy_policy(cluster, file(2, {40}, 0, days + "2027-12-24]\n"));
+  cluster.run(25);
+  const auto job_id = cluster.submit(batch(4, 1, 5));
+  cluster.run(60);
+  EXPECT_EQ(cluster.policy(0)->version(), 1U);
+  EXPECT_EQ(cluster.state_service().transactions_refused, 0U);
+  EXPECT_TRUE(cluster.jobs().at(job_id).told_done);
+  EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 
 // Settled once: whoever leads, whatever policy is in force by then, whatever its clock shows.
 TEST_P(Policies, CutoffsStandThroughARestartOfAllAcrossOne) {
-  World world(13, GetParam());
-  world.clock_error = 1;
-  deploy_policy(world, file(1, {3, 20}, 30));
-  world.run(20);
+  SimulatedCluster cluster(13, GetParam());
+  cluster.clock_error = 1;
+  deploy_policy(cluster, file(1, {3, 20}, 30));
+  cluster.run(20);
   std::vector<std::string> before;
-  for (int i = 0; i < 6; ++i) before.push_back(world.submit(batch(6, 1, 20)));
-  world.run(40);
-  for (const auto& uid : before) EXPECT_EQ(stored_cutoff(world, uid), kWall + 150) << uid;
-  for (int node = 0; node < world.nodes(); ++node) {
-    world.operator_files[node] = file(2, {1, 4, 30}, 0);
-    world.crash(node, 2);
+  for (int i = 0; i < 6; ++i) before.push_back(cluster.submit(batch(6, 1, 20)));
+  cluster.run(40);
+  for (const auto& job_id : before) EXPECT_EQ(stored_cutoff(cluster, job_id), kWall + 150) << job_id;
+  for (int node = 0; node < cluster.nodes(); ++node) {
+    cluster.operator_files[node] = file(2, {1, 4, 30}, 0);
+    cluster.crash(node, 2);
   }
-  world.run(140);
-  for (const auto& uid : before) {
-    EXPECT_EQ(stored_cutoff(world, uid), kWall + 150) << uid;
-    EXPECT_TRUE(world.jobs().at(uid).told_done) << uid;
+  cluster.run(140);
+  for (const auto& job_id : before) {
+    EXPECT_EQ(stored_cutoff(cluster, job_id), kWall + 150) << job_id;
+    EXPECT_TRUE(cluster.jobs().at(job_id).told_done) << job_id;
   }
-  world.state_outage(20);  // across the cutoff
-  for (int node = 0; node < world.nodes(); ++node) world.crash(node, 5);
-  world.run(200);
-  const auto late = world.submit(batch(2, 1, 5));
-  world.run(230);
-  EXPECT_EQ(stored_cutoff(world, late), kWall + 240);
-  EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
+  cluster.state_outage(20);  // across the cutoff
+  for (int node = 0; node < cluster.nodes(); ++node) cluster.crash(node, 5);
+  cluster.run(200);
+  const auto late = cluster.submit(batch(2, 1, 5));
+  cluster.run(230);
+  EXPECT_EQ(stored_cutoff(cluster, late), kWall + 240);
+  EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 
 // The last job's cutoff counts for a pipeline, and services have none.
 TEST(PolicySim, CutoffsOfServicesAndPipelines) {
-  World world(15);
-  deploy_policy(world, file(1, {10}));
-  world.run(20);
+  SimulatedCluster cluster(15);
+  deploy_policy(cluster, file(1, {10}));
+  cluster.run(20);
   auto service = batch(1, 1, 1000);
-  service.spec.shape = wire::Shape::daemon;
-  service.spec.reclaimable = false;
-  const auto daemon = world.submit(service);
+  service.spec.kind = wire::JobKind::service;
+  service.spec.allows_preemptible = false;
+  const auto daemon = cluster.submit(service);
   auto other = batch(2, 1, 5);
-  other.spec.owner = "blue";
-  const auto first = world.submit(other);
-  world.run(22);
+  other.spec.team = "blue";
+  const auto first = cluster.submit(other);
+  cluster.run(22);
   auto last = batch(2, 1, 5);
-  last.spec.waits_on = {wire::JobId{first}};
-  const auto second = world.submit(last);
-  world.run(60);
-  EXPECT_FALSE(stored_cutoff(world, daemon));
-  EXPECT_FALSE(stored_cutoff(world, first)) << "blue has no calendar";
-  EXPECT_TRUE(world.jobs().at(second).told_done);
-  EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
+  last.spec.depends_on = {wire::JobId{first}};
+  const auto second = cluster.submit(last);
+  cluster.run(60);
+  EXPECT_FALSE(stored_cutoff(cluster, daemon));
+  EXPECT_FALSE(stored_cutoff(cluster, first)) << "blue has no calendar";
+  EXPECT_TRUE(cluster.jobs().at(second).told_done);
+  EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 
 // A night's work is spread over the time there is; without a calendar all of it is rented at once.
 TEST(PolicySim, WorkForAFarCutoffIsSpread) {
   std::size_t most[2] = {0, 0};
   for (const bool with : {false, true}) {
-    World world(17);
-    world.cloud().machine_limit = 40;
-    if (with) deploy_policy(world, file(1, {25}));
-    world.run(20);
+    SimulatedCluster cluster(17);
+    cluster.cloud().machine_limit = 40;
+    if (with) deploy_policy(cluster, file(1, {25}));
+    cluster.run(20);
     std::vector<std::string> uids;
-    for (int i = 0; i < 4; ++i) uids.push_back(world.submit(batch(30, 1, 20)));
-    while (world.now() < 1500) {
-      world.run(world.now() + 10);
+    for (int i = 0; i < 4; ++i) uids.push_back(cluster.submit(batch(30, 1, 20)));
+    while (cluster.now() < 1500) {
+      cluster.run(cluster.now() + 10);
       std::size_t up = 0;
-      for (const auto& [host, machine] : world.machines()) up += machine.up && !machine.dead ? 1U : 0U;
+      for (const auto& [host, machine] : cluster.machines()) up += machine.up && !machine.dead ? 1U : 0U;
       most[with ? 1 : 0] = std::max(most[with ? 1 : 0], up);
       if (std::all_of(uids.begin(), uids.end(),
-                      [&](const auto& uid) { return world.jobs().at(uid).told_done; }))
+                      [&](const auto& job_id) { return cluster.jobs().at(job_id).told_done; }))
         break;
     }
-    for (const auto& uid : uids)
-      EXPECT_TRUE(world.jobs().at(uid).told_done) << uid << (with ? " missed its cutoff" : "");
-    EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
+    for (const auto& job_id : uids)
+      EXPECT_TRUE(cluster.jobs().at(job_id).told_done) << job_id << (with ? " missed its cutoff" : "");
+    EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
   }
   EXPECT_LE(2 * most[1], most[0]) << most[1] << " machines with, " << most[0] << " without a calendar";
 }
 
 // More than can be had until then: the job's owner is told before it is late.
 TEST(PolicySim, AStallIsTold) {
-  World world(19);
-  world.cloud().machine_limit = 4;
-  deploy_policy(world, file(1, {4}));
-  world.run(20);
-  const auto uid = world.submit(batch(400, 1, 30));
-  world.run(100);
-  const auto told = world.ask(0, {net::Method::get, "/submissions/" + uid, ""}).body;
+  SimulatedCluster cluster(19);
+  cluster.cloud().machine_limit = 4;
+  deploy_policy(cluster, file(1, {4}));
+  cluster.run(20);
+  const auto job_id = cluster.submit(batch(400, 1, 30));
+  cluster.run(100);
+  const auto told = cluster.ask(0, {net::Method::get, "/submissions/" + job_id, ""}).body;
   EXPECT_NE(told.find("cutoff: short by"), std::string::npos) << told;
-  world.run(250);
-  const auto later = world.ask(1, {net::Method::get, "/submissions/" + uid, ""}).body;
+  cluster.run(250);
+  const auto later = cluster.ask(1, {net::Method::get, "/submissions/" + job_id, ""}).body;
   EXPECT_NE(later.find("cutoff: missed"), std::string::npos) << later;
-  EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
+  EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 
 // Random days with policies that change, files of all ages, wrong clocks and, on every third, controllers of
@@ -441,75 +442,76 @@
 class PolicyDay : public testing::TestWithParam<int> {};
 TEST_P(PolicyDay, KeepsTheRules) {
   SCOPED_TRACE("seed " + std::to_string(GetParam()));
-  World world(static_cast<std::uint64_t>(1000 + GetParam()));
-  world.clock_error = 1;
+  SimulatedCluster cluster(static_cast<std::uint64_t>(1000 + GetParam()));
+  cluster.clock_error = 1;
   if (GetParam() % 3 == 0)
-    for (int node = 0; node < world.nodes(); ++node)
-      if (node > 0 || GetParam() % 2 == 0) world.before_policies.insert(node);
-  deploy_policy(world, file(1, {2, 4, 6, 30}, 10));
+    for (int node = 0; node < cluster.nodes(); ++node)
+      if (node > 0 || GetParam() % 2 == 0) cluster.before_policies.insert(node);
+  deploy_policy(cluster, file(1, {2, 4, 6, 30}, 10));
   int version = 1;
   constexpr double kFaultsEnd = 150;
   double next_job = 5;
   double next_fault = 20;
   double next_file = 15;
-  while (world.now() < kFaultsEnd) {
-    world.run(std::min({next_job, next_fault, next_file}));
-    ASSERT_TRUE(world.broken().empty()) << listing(world.broken());
-    if (world.now() >= next_job) {
-      world.chance(0.2) ? world.submit_pipeline() : world.submit_random();
-      next_job = world.now() + world.uniform(2, 8);
+  while (cluster.now() < kFaultsEnd) {
+    cluster.run(std::min({next_job, next_fault, next_file}));
+    ASSERT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
+    if (cluster.now() >= next_job) {
+      cluster.chance(0.2) ? cluster.submit_pipeline() : cluster.submit_random();
+      next_job = cluster.now() + cluster.uniform(2, 8);
     }
-    if (world.now() >= next_fault) {
-      world.random_fault();
-      next_fault = world.now() + world.uniform(4, 25);
+    if (cluster.now() >= next_fault) {
+      cluster.random_fault();
+      next_fault = cluster.now() + cluster.uniform(4, 25);
     }
-    if (world.now() >= next_file) {
-      const int node = world.pick(world.nodes());
-      world.before_policies.erase(node);
-      const int of = world.chance(0.6) ? ++version : std::max(1, version - 1 + world.pick(2));
-      world.operator_files[node] = file(of, {1 + world.pick(5), 10 + world.pick(40)}, world.pick(3) * 10);
-      world.crash(node, world.uniform(0.3, 3));
-      next_file = world.now() + world.uniform(8, 30);
+    if (cluster.now() >= next_file) {
+      const int node = cluster.pick(cluster.nodes());
+      cluster.before_policies.erase(node);
+      const int of = cluster.chance(0.6) ? ++version : std::max(1, version - 1 + cluster.pick(2));
+      cluster.operator_files[node] =
+          file(of, {1 + cluster.pick(5), 10 + cluster.pick(40)}, cluster.pick(3) * 10);
+      cluster.crash(node, cluster.uniform(0.3, 3));
+      next_file = cluster.now() + cluster.uniform(8, 30);
     }
   }
-  world.heal();
-  world.before_policies.clear();
-  for (int node = 0; node < world.nodes(); ++node) world.crash(node, 1);
-  world.run(kFaultsEnd + 150);
-  EXPECT_TRUE(world.broken().empty()) << listing(world.broken());
-  EXPECT_EQ(world.leaders(), 1);
+  cluster.heal();
+  cluster.before_policies.clear();
+  for (int node = 0; node < cluster.nodes(); ++node) cluster.crash(node, 1);
+  cluster.run(kFaultsEnd + 150);
+  EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
+  EXPECT_EQ(cluster.leaders(), 1);
   // All go by one policy, the newest that any controller came with at last.
-  const auto print = world.policy(0)->fingerprint();
-  for (int node = 0; node < world.nodes(); ++node) {
-    EXPECT_EQ(world.policy(node)->fingerprint(), print);
-    EXPECT_EQ(world.policy(node)->version(), world.policy(0)->version());
+  const auto print = cluster.policy(0)->fingerprint();
+  for (int node = 0; node < cluster.nodes(); ++node) {
+    EXPECT_EQ(cluster.policy(node)->fingerprint(), print);
+    EXPECT_EQ(cluster.policy(node)->version(), cluster.policy(0)->version());
   }
-  for (const auto& [uid, job] : world.jobs()) EXPECT_TRUE(job.accepted) << uid;
+  for (const auto& [job_id, job] : cluster.jobs()) EXPECT_TRUE(job.accepted) << job_id;
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, PolicyDay, testing::Range(1, 13));
 
 // ---- the checker
 
 TEST(Checker, SeesACutoffThatMoves) {
-  World world(21);
-  deploy_policy(world, file(1, {10}));
-  world.run(20);
-  const auto uid = world.submit(batch(4, 1, 60));
-  world.run(30);
-  ASSERT_TRUE(world.broken().empty()) << listing(world.broken());
-  auto data = world.keys().at(wire::job_key({uid})).data;
+  SimulatedCluster cluster(21);
+  deploy_policy(cluster, file(1, {10}));
+  cluster.run(20);
+  const auto job_id = cluster.submit(batch(4, 1, 60));
+  cluster.run(30);
+  ASSERT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
+  auto data = cluster.keys().at(wire::job_key({job_id})).data;
   data["cutoff"] = data["cutoff"].get<double>() + 60;
-  world.write(wire::job_key({uid}), data, true);
-  EXPECT_TRUE(broke_rule(world, "cutoff_moved")) << listing(world.broken());
+  cluster.write(wire::job_key({job_id}), data, true);
+  EXPECT_TRUE(broke_rule(cluster, "cutoff_moved")) << listing(cluster.broken());
 }
 
 TEST(Checker, SeesAPolicyThatGoesBack) {
-  World world(21);
-  deploy_policy(world, file(2, {10}));
-  world.run(20);
-  ASSERT_TRUE(world.broken().empty()) << listing(world.broken());
-  world.write(wire::kPolicyKey, {{"version", 1}, {"file", "x"}}, true);
-  EXPECT_TRUE(broke_rule(world, "policy_back")) << listing(world.broken());
+  SimulatedCluster cluster(21);
+  deploy_policy(cluster, file(2, {10}));
+  cluster.run(20);
+  ASSERT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
+  cluster.write(wire::kPolicyKey, {{"version", 1}, {"file", "x"}}, true);
+  EXPECT_TRUE(broke_rule(cluster, "policy_back")) << listing(cluster.broken());
 }
 
 }  // namespace
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -8,10 +8,10 @@
 namespace bankhill::leader {
 namespace {
 
-using wire::HostId;
 using wire::JobId;
-using wire::MemberId;
-using wire::Rank;
+using wire::MachineId;
+using wire::Priority;
+using wire::TaskId;
 
 constexpr double kNow = 1000;
 constexpr double kLongTaskS = 100;
@@ -21,44 +21,44 @@
 class PreemptionTest : public testing::Test {
  protected:
   PreemptionTest() : quota_({{"red", {4, 0, 0}, {99, 0, 0}}, {"blue", {16, 0, 0}, {99, 0, 0}}}) {
-    waiting_.spec.uid = JobId{"waiting"};
-    waiting_.spec.owner = "blue";
-    waiting_.spec.bundle = "image";
-    waiting_.spec.need = {4, 0, 4};
+    waiting_.spec.id = JobId{"waiting"};
+    waiting_.spec.team = "blue";
+    waiting_.spec.image = "image";
+    waiting_.spec.request = {4, 0, 4};
   }
 
   model::Machine& add_machine(const std::string& name) {
-    auto& machine = *fleet_.add(HostId{name}).first;
-    machine.size = {8, 0, 64};
+    auto& machine = *fleet_.add(MachineId{name}).first;
+    machine.capacity = {8, 0, 64};
     machine.up = machine.recorded = machine.confirmed = true;
     machine.images.insert("image");
     return machine;
   }
 
   // A task of a job of its own that has run for `ran_s` of `runtime_s`.
-  model::Bind& add_task(model::Machine& machine, const std::string& team, double cores, Rank priority,
-                        double ran_s, double runtime_s = 500, bool service = false) {
+  model::Assignment& add_task(model::Machine& machine, const std::string& team, double cores,
+                              Priority priority, double ran_s, double runtime_s = 500, bool service = false) {
     const JobId id{team + std::to_string(jobs_.size())};
     auto& job = jobs_[id];
-    job.spec.uid = id;
-    job.spec.owner = team;
-    job.spec.rank = priority;
-    job.spec.shape = service ? wire::Shape::daemon : wire::Shape::sweep;
-    job.spec.guess_s = runtime_s;
-    model::Bind assignment;
-    assignment.member = MemberId{id, 0};
-    assignment.owner = team;
-    assignment.rank = priority;
+    job.spec.id = id;
+    job.spec.team = team;
+    job.spec.priority = priority;
+    job.spec.kind = service ? wire::JobKind::service : wire::JobKind::array;
+    job.spec.estimated_runtime_s = runtime_s;
+    model::Assignment assignment;
+    assignment.task = TaskId{id, 0};
+    assignment.team = team;
+    assignment.priority = priority;
     assignment.service = service;
-    assignment.need = {cores, 0, 4};
+    assignment.request = {cores, 0, 4};
     assignment.running_since = kNow - ran_s;
-    machine.used += assignment.need;
+    machine.used += assignment.request;
     quota_.add(assignment);
-    return machine.binds.emplace(assignment.member, assignment).first->second;
+    return machine.assignments.emplace(assignment.task, assignment).first->second;
   }
 
   // The job ids of the tasks that would be stopped on the machine, in their order.
-  std::vector<std::string> victims(const model::Machine& machine, Rank priority,
+  std::vector<std::string> victims(const model::Machine& machine, Priority priority,
                                    bool reclaims_borrowed) const {
     std::vector<std::string> names;
     const auto candidate = selector_.victims_on(machine, {waiting_, priority, reclaims_borrowed}, kNow);
@@ -67,7 +67,7 @@
     return names;
   }
 
-  std::string chosen(Rank priority, const VictimSelector::MachineFilter& allowed = kAnyMachine) {
+  std::string chosen(Priority priority, const VictimSelector::MachineFilter& allowed = kAnyMachine) {
     const auto candidate =
         selector_.choose(fleet_, fleet_.size(), {waiting_, priority, false}, allowed, kNow);
     return candidate ? candidate->machine_id.value : "";
@@ -77,7 +77,7 @@
 
   model::Fleet fleet_;
   VictimSelector::Jobs jobs_;
-  model::Waits dependencies_;
+  model::DependencyGraph dependencies_;
   QuotaLedger quota_;
   model::Job waiting_;
   VictimSelector selector_{jobs_, dependencies_, quota_, kLongTaskS};
@@ -85,137 +85,138 @@
 
 TEST_F(PreemptionTest, StopsLowerPrioritiesOnlyAndNoMoreThanNeeded) {
   auto& machine = add_machine("m");
-  add_task(machine, "red", 2, Rank::best_effort, 10);  // red0
-  add_task(machine, "red", 2, Rank::high, 10);         // red1
-  add_task(machine, "red", 2, Rank::best_effort, 10);  // red2
-  add_task(machine, "red", 2, Rank::best_effort, 10);  // red3
-  EXPECT_EQ(victims(machine, Rank::normal, false), (Names{"red0", "red2"}));
-  EXPECT_EQ(victims(machine, Rank::production, false), (Names{"red0", "red1"}));
-  EXPECT_EQ(victims(machine, Rank::best_effort, false), Names{});
+  add_task(machine, "red", 2, Priority::best_effort, 10);  // red0
+  add_task(machine, "red", 2, Priority::high, 10);         // red1
+  add_task(machine, "red", 2, Priority::best_effort, 10);  // red2
+  add_task(machine, "red", 2, Priority::best_effort, 10);  // red3
+  EXPECT_EQ(victims(machine, Priority::normal, false), (Names{"red0", "red2"}));
+  EXPECT_EQ(victims(machine, Priority::production, false), (Names{"red0", "red1"}));
+  EXPECT_EQ(victims(machine, Priority::best_effort, false), Names{});
 }
 
 TEST_F(PreemptionTest, StopsNothingWhereThatMakesTooLittleRoomOrNoneIsNeeded) {
   auto& full = add_machine("full");
-  add_task(full, "red", 3, Rank::best_effort, 10);
-  add_task(full, "red", 5, Rank::normal, 10);
-  EXPECT_EQ(victims(full, Rank::normal, false), Names{});
+  add_task(full, "red", 3, Priority::best_effort, 10);
+  add_task(full, "red", 5, Priority::normal, 10);
+  EXPECT_EQ(victims(full, Priority::normal, false), Names{});
   auto& roomy = add_machine("roomy");
-  add_task(roomy, "red", 4, Rank::best_effort, 10);
-  EXPECT_EQ(victims(roomy, Rank::normal, false), Names{});
+  add_task(roomy, "red", 4, Priority::best_effort, 10);
+  EXPECT_EQ(victims(roomy, Priority::normal, false), Names{});
 }
 
 TEST_F(PreemptionTest, LeavesAMachineAloneWhereTasksAreBeingStopped) {
   auto& machine = add_machine("m");
-  add_task(machine, "red", 4, Rank::best_effort, 10);
-  auto& second = add_task(machine, "red", 4, Rank::best_effort, 10);
-  EXPECT_EQ(victims(machine, Rank::normal, false), Names{"red0"});
+  add_task(machine, "red", 4, Priority::best_effort, 10);
+  auto& second = add_task(machine, "red", 4, Priority::best_effort, 10);
+  EXPECT_EQ(victims(machine, Priority::normal, false), Names{"red0"});
   second.stopping = true;
-  EXPECT_EQ(victims(machine, Rank::normal, false), Names{});
+  EXPECT_EQ(victims(machine, Priority::normal, false), Names{});
 }
 
 TEST_F(PreemptionTest, StopsNoTaskOfAnUnknownJob) {
   auto& machine = add_machine("m");
-  add_task(machine, "", 4, Rank::best_effort, 10);
-  add_task(machine, "red", 4, Rank::best_effort, 10);
+  add_task(machine, "", 4, Priority::best_effort, 10);
+  add_task(machine, "red", 4, Priority::best_effort, 10);
   jobs_.erase(JobId{"red1"});
-  EXPECT_EQ(victims(machine, Rank::production, true), Names{});
+  EXPECT_EQ(victims(machine, Priority::production, true), Names{});
 }
 
 TEST_F(PreemptionTest, GoesByThePriorityOfWhatDependsOnAJob) {
   auto& machine = add_machine("m");
-  add_task(machine, "red", 8, Rank::best_effort, 10);
-  EXPECT_EQ(victims(machine, Rank::normal, false), Names{"red0"});
-  model::JobFact fact;
-  fact.state = model::JobFact::State::accepted;
-  fact.rank = Rank::high;
+  add_task(machine, "red", 8, Priority::best_effort, 10);
+  EXPECT_EQ(victims(machine, Priority::normal, false), Names{"red0"});
+  model::DependencyInfo fact;
+  fact.state = model::DependencyInfo::State::accepted;
+  fact.priority = Priority::high;
   dependencies_.add(JobId{"dependent"}, fact, {JobId{"red0"}}, false, [](const JobId&) {
-    model::JobFact needed;
-    needed.state = model::JobFact::State::accepted;
+    model::DependencyInfo needed;
+    needed.state = model::DependencyInfo::State::accepted;
     return needed;
   });
-  EXPECT_EQ(victims(machine, Rank::normal, false), Names{});
-  EXPECT_EQ(victims(machine, Rank::production, false), Names{"red0"});
+  EXPECT_EQ(victims(machine, Priority::normal, false), Names{});
+  EXPECT_EQ(victims(machine, Priority::production, false), Names{"red0"});
 }
 
 TEST_F(PreemptionTest, ReclaimsWhatLongTasksOfOtherTeamsBorrow) {
   auto& machine = add_machine("m");
-  add_task(machine, "blue", 2, Rank::normal, 10);                          // blue0
-  add_task(machine, "red", 3, Rank::normal, 10, 10 + kLongTaskS);          // red1: ends soon
-  add_task(machine, "red", 3, Rank::production, 10, 10 + kLongTaskS + 1);  // red2
-  EXPECT_EQ(victims(machine, Rank::best_effort, false), Names{});
+  add_task(machine, "blue", 2, Priority::normal, 10);                          // blue0
+  add_task(machine, "red", 3, Priority::normal, 10, 10 + kLongTaskS);          // red1: ends soon
+  add_task(machine, "red", 3, Priority::production, 10, 10 + kLongTaskS + 1);  // red2
+  EXPECT_EQ(victims(machine, Priority::best_effort, false), Names{});
   // Three cores are too few for four.
-  EXPECT_EQ(victims(machine, Rank::best_effort, true), Names{});
-  waiting_.spec.need.cores = 3;
-  EXPECT_EQ(victims(machine, Rank::best_effort, true), Names{"red2"});
+  EXPECT_EQ(victims(machine, Priority::best_effort, true), Names{});
+  waiting_.spec.request.cores = 3;
+  EXPECT_EQ(victims(machine, Priority::best_effort, true), Names{"red2"});
   // Its own team's tasks are none that it could reclaim.
-  waiting_.spec.owner = "red";
-  EXPECT_EQ(victims(machine, Rank::best_effort, true), Names{});
+  waiting_.spec.team = "red";
+  EXPECT_EQ(victims(machine, Priority::best_effort, true), Names{});
 }
 
 TEST_F(PreemptionTest, ReclaimsNothingOfATeamWithinItsGuarantee) {
   auto& machine = add_machine("m");
-  add_task(machine, "red", 4, Rank::normal, 10);
+  add_task(machine, "red", 4, Priority::normal, 10);
   auto& other = add_machine("other");
-  waiting_.spec.need.cores = 8;
-  EXPECT_EQ(victims(machine, Rank::normal, true), Names{});
-  add_task(other, "red", 1, Rank::normal, 10);
-  EXPECT_EQ(victims(machine, Rank::normal, true), Names{"red0"});
+  waiting_.spec.request.cores = 8;
+  EXPECT_EQ(victims(machine, Priority::normal, true), Names{});
+  add_task(other, "red", 1, Priority::normal, 10);
+  EXPECT_EQ(victims(machine, Priority::normal, true), Names{"red0"});
 }
 
 // Five cores of red are in use and four guaranteed: its batch borrows, its service does not.
 TEST_F(PreemptionTest, CountsServicesTowardsTheGuaranteeFirst) {
   auto& machine = add_machine("m");
-  add_task(machine, "red", 4, Rank::normal, 10, 500, true);  // red0
+  add_task(machine, "red", 4, Priority::normal, 10, 500, true);  // red0
   auto& other = add_machine("other");
-  add_task(other, "red", 8, Rank::normal, 10);  // red1
-  EXPECT_EQ(victims(machine, Rank::normal, true), Names{});
-  waiting_.spec.need.cores = 8;
-  EXPECT_EQ(victims(machine, Rank::normal, true), Names{});
-  EXPECT_EQ(victims(other, Rank::normal, true), Names{"red1"});
+  add_task(other, "red", 8, Priority::normal, 10);  // red1
+  EXPECT_EQ(victims(machine, Priority::normal, true), Names{});
+  waiting_.spec.request.cores = 8;
+  EXPECT_EQ(victims(machine, Priority::normal, true), Names{});
+  EXPECT_EQ(victims(other, Priority::normal, true), Names{"red1"});
   // Once its services alone hold more than its guarantee they can be stopped too: they never end.
-  add_task(add_machine("third"), "red", 1, Rank::normal, 10, 500, true);
-  EXPECT_EQ(victims(machine, Rank::normal, true), Names{"red0"});
+  add_task(add_machine("third"), "red", 1, Priority::normal, 10, 500, true);
+  EXPECT_EQ(victims(machine, Priority::normal, true), Names{"red0"});
 }
 
 TEST_F(PreemptionTest, ChoosesTheLeastLostProgress) {
-  add_task(add_machine("a"), "red", 8, Rank::best_effort, 30);
-  add_task(add_machine("b"), "red", 8, Rank::best_effort, 20);
+  add_task(add_machine("a"), "red", 8, Priority::best_effort, 30);
+  add_task(add_machine("b"), "red", 8, Priority::best_effort, 20);
   auto& two = add_machine("c");
-  add_task(two, "red", 2, Rank::best_effort, 20);
-  add_task(two, "red", 6, Rank::best_effort, 30);
-  EXPECT_EQ(chosen(Rank::normal), "b");
-  const auto candidate = selector_.victims_on(two, {waiting_, Rank::normal, false}, kNow);
+  add_task(two, "red", 2, Priority::best_effort, 20);
+  add_task(two, "red", 6, Priority::best_effort, 30);
+  EXPECT_EQ(chosen(Priority::normal), "b");
+  const auto candidate = selector_.victims_on(two, {waiting_, Priority::normal, false}, kNow);
   ASSERT_TRUE(candidate);
   EXPECT_EQ(candidate->cost, (PreemptionCost{false, 2 * 20 + 6 * 30}));
 }
 
 TEST_F(PreemptionTest, PrefersAMachineThatHasTheImage) {
   auto& without = add_machine("a");
-  add_task(without, "red", 8, Rank::best_effort, 1);
+  add_task(without, "red", 8, Priority::best_effort, 1);
   without.images.clear();
-  EXPECT_EQ(chosen(Rank::normal), "a");
-  add_task(add_machine("b"), "red", 8, Rank::best_effort, 100);
-  EXPECT_EQ(chosen(Rank::normal), "b");
+  EXPECT_EQ(chosen(Priority::normal), "a");
+  add_task(add_machine("b"), "red", 8, Priority::best_effort, 100);
+  EXPECT_EQ(chosen(Priority::normal), "b");
 }
 
 TEST_F(PreemptionTest, LeavesOutMachinesThatTakeNoTasksOrAreNotAllowed) {
   auto& machine = add_machine("a");
-  add_task(machine, "red", 8, Rank::best_effort, 10);
-  add_task(add_machine("b"), "red", 8, Rank::best_effort, 20);
-  EXPECT_EQ(chosen(Rank::normal, [](const auto& item) { return item.host != HostId{"a"}; }), "b");
+  add_task(machine, "red", 8, Priority::best_effort, 10);
+  add_task(add_machine("b"), "red", 8, Priority::best_effort, 20);
+  EXPECT_EQ(chosen(Priority::normal, [](const auto& item) { return item.id != MachineId{"a"}; }), "b");
   machine.draining = true;
-  EXPECT_EQ(chosen(Rank::normal), "b");
+  EXPECT_EQ(chosen(Priority::normal), "b");
   machine.draining = false;
-  machine.quiet = true;
-  EXPECT_EQ(chosen(Rank::normal), "b");
-  EXPECT_EQ(chosen(Rank::normal, [](const auto&) { return false; }), "");
+  machine.overdue = true;
+  EXPECT_EQ(chosen(Priority::normal), "b");
+  EXPECT_EQ(chosen(Priority::normal, [](const auto&) { return false; }), "");
 }
 
 // A large fleet is looked through a part at a time.
 TEST_F(PreemptionTest, GoesRoundTheFleet) {
-  for (const auto* name : {"a", "b", "c"}) add_task(add_machine(name), "red", 8, Rank::best_effort, 10);
+  for (const auto* name : {"a", "b", "c"}) add_task(add_machine(name), "red", 8, Priority::best_effort, 10);
   const auto next = [&] {
-    return selector_.choose(fleet_, 2, {waiting_, Rank::normal, false}, kAnyMachine, kNow)->machine_id.value;
+    return selector_.choose(fleet_, 2, {waiting_, Priority::normal, false}, kAnyMachine, kNow)
+        ->machine_id.value;
   };
   EXPECT_EQ(next(), "a");
   EXPECT_EQ(next(), "c");
@@ -224,8 +225,8 @@
 
 queue::Candidate waiting_job(double cores, bool allows_preemptible, double runtime_s) {
   queue::Candidate candidate;
-  candidate.need = {cores, 0, 1};
-  candidate.reclaimable = allows_preemptible;
+  candidate.request = {cores, 0, 1};
+  candidate.allows_preemptible = allows_preemptible;
   candidate.task_s = runtime_s;
   return candidate;
 }
--- a/tests/protocol_text_test.cpp
+++ b/tests/protocol_text_test.cpp
@@ -54,7 +54,7 @@
   runtime::Loop& loop_;
 };
 
-class RecordingPeers final : public net::PeerPort {
+class RecordingPeers final : public net::PeerTransport {
  public:
   bool send(const std::string& node, const wire::Frame& frame) override {
     sent.emplace_back(node, frame);
@@ -165,9 +165,9 @@
     EXPECT_EQ(response.body, normalized(body));
   }
 
-  // What the leader says to a report that comes here, given to the worker.
-  Response deliver(wire::Verdict verdict, const std::vector<wire::Order>& orders) {
-    wire::Beat beat;
+  // What the leader says to a heartbeat that comes here, given to the worker.
+  Response deliver(wire::HeartbeatResult verdict, const std::vector<wire::Command>& commands) {
+    wire::PeerStatus beat;
     beat.term = 41;
     beat.state_ok = true;
     beat.leading = true;
@@ -177,20 +177,20 @@
     std::size_t looked_at = peers.sent.size();
     node->handle({Method::post, "/v1/report", kReport},
                  [answered](Response response) { *answered = std::move(response); });
-    const wire::Reports* reports = nullptr;
+    const wire::ForwardedHeartbeats* heartbeats = nullptr;
     EXPECT_TRUE(until([&] {
-      for (; looked_at < peers.sent.size() && reports == nullptr; ++looked_at)
-        reports = std::get_if<wire::Reports>(&peers.sent[looked_at].second);
-      return reports != nullptr;
+      for (; looked_at < peers.sent.size() && heartbeats == nullptr; ++looked_at)
+        heartbeats = std::get_if<wire::ForwardedHeartbeats>(&peers.sent[looked_at].second);
+      return heartbeats != nullptr;
     }));
-    if (reports == nullptr) return {};
-    EXPECT_EQ(reports->items.size(), 1U);
-    wire::Ruling ruling;
-    ruling.id = reports->items.at(0).id;
-    ruling.verdict = verdict;
-    ruling.fence.value = 41;
-    ruling.orders = orders;
-    peers.receive("worker-1", wire::Rulings{{ruling}});
+    if (heartbeats == nullptr) return {};
+    EXPECT_EQ(heartbeats->items.size(), 1U);
+    wire::HeartbeatResponse response;
+    response.id = heartbeats->items.at(0).id;
+    response.result = verdict;
+    response.fencing_token.value = 41;
+    response.commands = commands;
+    peers.receive("worker-1", wire::HeartbeatResponses{{response}});
     EXPECT_TRUE(until([&] { return answered->has_value(); }));
     return answered->value_or(Response{});
   }
@@ -214,7 +214,7 @@
   expect(ask(Method::get, "/submissions/job-104", ""), 200,
          R"({"uid":"job-104","phase":"queued","done":0,"running":0,"waits_on":["job-103"],
              "reason":"waits for job-103"})");
-  wire::Progress progress;
+  wire::JobProgress progress;
   progress.done = 3;
   progress.running = 13;
   progress.job = "job-103";
@@ -281,15 +281,15 @@
 TEST_F(ControllerText, AnswersWorkers) {
   expect(ask(Method::post, "/v1/report", "{}"), 400, R"({"error":"field 'host' is missing"})");
   expect(ask(Method::get, "/v1/report", ""), 405, "{}");
-  // No sibling is heard, and none is known to take part: the leader is named.
+  // No peer is heard, and none is known to take part: the leader is named.
   expect(ask(Method::post, "/v1/report", kReport), 421, R"({"controller":"worker-1"})");
-  expect(deliver(wire::Verdict::granted, {{wire::Verb::start, {{"job-1"}, 4}, {2}, 0},
-                                          {wire::Verb::stop, {{"job-2"}, 5}, {3}, 10.5},
-                                          {wire::Verb::forget, {{"job-3"}, 6}, {4}, 0}}),
+  expect(deliver(wire::HeartbeatResult::accepted, {{wire::CommandType::start, {{"job-1"}, 4}, {2}, 0},
+                                                   {wire::CommandType::stop, {{"job-2"}, 5}, {3}, 10.5},
+                                                   {wire::CommandType::forget, {{"job-3"}, 6}, {4}, 0}}),
          200, R"({"fence":41,"orders":[{"verb":"start","member":"job-1/4","try_no":2},
                   {"verb":"stop","member":"job-2/5","try_no":3,"wind_down_s":10.5},
                   {"verb":"forget","member":"job-3/6","try_no":4}]})");
-  expect(deliver(wire::Verdict::refused, {}), 421, "{}");
+  expect(deliver(wire::HeartbeatResult::rejected, {}), 421, "{}");
 }
 
 // The requests that a store makes, apart from those above.
@@ -307,13 +307,13 @@
   std::optional<state::protocol::LeaseRenewal> renewed;
   std::optional<state::Entry> entry;
   std::optional<state::CommitResult> result;
-  store.tell(state::OpenLease{12.5, [&](std::optional<std::uint64_t> opened) { lease = opened; }});
-  store.tell(state::TouchLease{91, 1, [&](state::protocol::LeaseRenewal touched) { renewed = touched; }});
-  store.tell(state::EndLease{92});
-  store.tell(state::Fetch{"bankhill/job/job-1",
-                          [&](const state::protocol::KeyAnswer& read) { entry = read.entry; }});
+  store.tell(state::GrantLease{12.5, [&](std::optional<std::uint64_t> opened) { lease = opened; }});
+  store.tell(state::RenewLease{91, 1, [&](state::protocol::LeaseRenewal touched) { renewed = touched; }});
+  store.tell(state::RevokeLease{92});
+  store.tell(state::FetchKey{"bankhill/job/job-1",
+                             [&](const state::protocol::KeyAnswer& read) { entry = read.entry; }});
   state::Transaction transaction;
-  transaction.when = {{"bankhill/term", {41}}};
+  transaction.conditions = {{"bankhill/term", {41}}};
   transaction.writes = {{"bankhill/leader", Json{{"a", 2}}, 91},
                         {"bankhill/job/job-1", std::nullopt, std::nullopt}};
   store.tell(state::Commit{std::move(transaction), [&](state::CommitResult done) { result = done; }});
@@ -321,9 +321,9 @@
   EXPECT_EQ(lease, 91U);
   EXPECT_EQ(renewed, state::protocol::LeaseRenewal::ended);
   EXPECT_EQ(entry->data.dump(), R"({"a":1})");
-  EXPECT_EQ(entry->stamp.value, 17U);
+  EXPECT_EQ(entry->revision.value, 17U);
   EXPECT_EQ(result->outcome, state::Outcome::conflict);
-  EXPECT_EQ(result->epoch.value, 12U);
+  EXPECT_EQ(result->revision.value, 12U);
   EXPECT_EQ(request_to("/leases")->method, Method::post);
   EXPECT_EQ(request_to("/leases")->body, R"({"ttl_ms":12500})");
   EXPECT_EQ(request_to("/leases/91/touch")->method, Method::post);
@@ -353,13 +353,13 @@
   store.start();
   ASSERT_TRUE(until([&] { return seen.size() == 3; }));
   EXPECT_EQ(seen[0].key, "bankhill/a");
-  EXPECT_EQ(seen[0].stamp.value, 3U);
+  EXPECT_EQ(seen[0].revision.value, 3U);
   EXPECT_EQ(seen[0].data->dump(), R"({"x":1})");
   EXPECT_EQ(seen[1].key, "bankhill/b");
-  EXPECT_EQ(seen[1].stamp.value, 6U);
+  EXPECT_EQ(seen[1].revision.value, 6U);
   EXPECT_EQ(seen[1].data->dump(), R"({"y":2})");
   EXPECT_EQ(seen[2].key, "bankhill/a");
-  EXPECT_EQ(seen[2].stamp.value, 7U);
+  EXPECT_EQ(seen[2].revision.value, 7U);
   EXPECT_FALSE(seen[2].data);
 }
 
@@ -379,29 +379,29 @@
     if (request.path == "/machines?most=500&after=n-1") return Response{200, R"({"hosts":[]})", std::nullopt};
     return Response{200, "{}", std::nullopt};
   };
-  std::optional<std::vector<wire::Flavor>> catalogue;
-  std::vector<cloud::Rented> rented;
+  std::optional<std::vector<wire::MachineType>> catalogue;
+  std::vector<cloud::RentalResult> rented;
   bool released = false;
-  std::optional<std::vector<wire::ListedHost>> listed;
+  std::optional<std::vector<wire::ListedMachine>> listed;
   const wire::RentalRecord rental{"g8", "za", true, 3, 7.5, std::nullopt};
-  const auto keep = [&](cloud::Rented answer) { rented.push_back(std::move(answer)); };
+  const auto keep = [&](cloud::RentalResult answer) { rented.push_back(std::move(answer)); };
   cloud.tell(cloud::GetCatalogue{[&](auto read) { catalogue = std::move(read); }});
   cloud.tell(cloud::Rent{"41-2", rental, keep});
   cloud.tell(cloud::Rent{"41-3", rental, keep});
-  cloud.tell(cloud::Release{{{"n-3"}, {"n-4"}}, [&](bool gone) { released = gone; }});
-  cloud.tell(cloud::ListHosts{[&](auto hosts) { listed = std::move(hosts); }});
+  cloud.tell(cloud::Terminate{{{"n-3"}, {"n-4"}}, [&](bool gone) { released = gone; }});
+  cloud.tell(cloud::ListMachines{[&](auto hosts) { listed = std::move(hosts); }});
   ASSERT_TRUE(until([&] { return catalogue && rented.size() == 2 && released && listed; }));
   EXPECT_EQ(request_to("/flavors")->method, Method::get);
   EXPECT_EQ(request_to("/machines")->method, Method::post);
   EXPECT_EQ(request_to("/machines")->body,
             normalized(R"({"rental":"41-2","flavor":"g8","rack_room":"za","reclaimable":true,"count":3})"));
-  EXPECT_EQ(rented[0].kind, cloud::Rented::Kind::hosts);
-  EXPECT_EQ(rented[0].hosts, (std::vector<wire::HostId>{{"n-1"}, {"n-2"}}));
-  EXPECT_EQ(rented[1].kind, cloud::Rented::Kind::no_capacity);
+  EXPECT_EQ(rented[0].status, cloud::RentalResult::Status::granted);
+  EXPECT_EQ(rented[0].machines, (std::vector<wire::MachineId>{{"n-1"}, {"n-2"}}));
+  EXPECT_EQ(rented[1].status, cloud::RentalResult::Status::no_capacity);
   EXPECT_EQ(request_to("/machines/release")->method, Method::post);
   EXPECT_EQ(request_to("/machines/release")->body, R"({"hosts":["n-3","n-4"]})");
   ASSERT_EQ(listed->size(), 1U);
-  EXPECT_EQ(listed->front().uid.value, "n-1");
+  EXPECT_EQ(listed->front().id.value, "n-1");
   EXPECT_NE(request_to("/machines?most=500&after=n-1"), nullptr);
 }
 
