--- a/tests/quota_ledger_test.cpp
+++ b/tests/quota_ledger_test.cpp
@@ -7,64 +7,65 @@
 namespace bankhill::leader {
 namespace {
 
-using wire::Amounts;
-using wire::Rank;
+using wire::Priority;
+using wire::Resources;
 
 constexpr std::uint64_t kToken = 7;
-const Amounts kNoMachines;
+const Resources kNoMachines;
 
 // Red may hold 80 cores and 8 accelerators, blue 40 cores.
 std::vector<Team> two_teams() { return {{"red", {20, 2, 0}, {80, 8, 0}}, {"blue", {10, 0, 0}, {40, 0, 0}}}; }
 
-model::Bind task(const std::string& team, double cores, Rank priority = Rank::normal, bool service = false) {
-  model::Bind assignment;
-  assignment.owner = team;
-  assignment.need = {cores, 0, 4};
-  assignment.rank = priority;
+model::Assignment task(const std::string& team, double cores, Priority priority = Priority::normal,
+                       bool service = false) {
+  model::Assignment assignment;
+  assignment.team = team;
+  assignment.request = {cores, 0, 4};
+  assignment.priority = priority;
   assignment.service = service;
   return assignment;
 }
 
 // Stores what the ledger asks for at once.
-void store_bounds(QuotaLedger& ledger, const Amounts& unconfirmed_size = kNoMachines) {
+void store_bounds(QuotaLedger& ledger, const Resources& unconfirmed_size = kNoMachines) {
   if (ledger.next_record(unconfirmed_size, kToken, false)) ledger.record_stored();
 }
 
 // A ledger in a term for which bounds that an earlier leader left are believed.
-QuotaLedger ledger_after(const Amounts& red_bound, const Amounts& blue_bound) {
+QuotaLedger ledger_after(const Resources& red_bound, const Resources& blue_bound) {
   QuotaLedger ledger(two_teams());
-  ledger.begin_term(wire::BoundsRecord{kToken - 1, {{"red", red_bound}, {"blue", blue_bound}}}, kToken);
+  ledger.begin_term(wire::QuotaRecord{kToken - 1, {{"red", red_bound}, {"blue", blue_bound}}}, kToken);
   return ledger;
 }
 
 TEST(QuotaLedgerTest, AddsAndRemovesWhatATeamHolds) {
   QuotaLedger ledger(two_teams());
   ledger.add(task("red", 8));
-  ledger.add(task("red", 4, Rank::high, true));
-  ledger.add(task("blue", 2, Rank::best_effort));
-  EXPECT_EQ(ledger.usage("red").total, (Amounts{12, 0, 8}));
+  ledger.add(task("red", 4, Priority::high, true));
+  ledger.add(task("blue", 2, Priority::best_effort));
+  EXPECT_EQ(ledger.usage("red").total, (Resources{12, 0, 8}));
   EXPECT_EQ(ledger.usage("red").service_cores, 4);
   EXPECT_EQ(ledger.service_cores(), 4);
-  EXPECT_EQ(ledger.cores_below(Rank::best_effort), 0);
-  EXPECT_EQ(ledger.cores_below(Rank::normal), 2);
-  EXPECT_EQ(ledger.cores_below(Rank::high), 10);
-  EXPECT_EQ(ledger.cores_below(Rank::production), 14);
-  ledger.remove(task("red", 4, Rank::high, true));
-  EXPECT_EQ(ledger.usage("red").total, (Amounts{8, 0, 4}));
+  EXPECT_EQ(ledger.cores_below(Priority::best_effort), 0);
+  EXPECT_EQ(ledger.cores_below(Priority::normal), 2);
+  EXPECT_EQ(ledger.cores_below(Priority::high), 10);
+  EXPECT_EQ(ledger.cores_below(Priority::production), 14);
+  ledger.remove(task("red", 4, Priority::high, true));
+  EXPECT_EQ(ledger.usage("red").total, (Resources{8, 0, 4}));
   EXPECT_EQ(ledger.usage("red").service_cores, 0);
   EXPECT_EQ(ledger.service_cores(), 0);
-  EXPECT_EQ(ledger.cores_below(Rank::production), 10);
+  EXPECT_EQ(ledger.cores_below(Priority::production), 10);
   ledger.clear();
-  EXPECT_EQ(ledger.usage("red").total, Amounts{});
-  EXPECT_EQ(ledger.usage("green").total, Amounts{});
-  EXPECT_EQ(ledger.cores_below(Rank::production), 0);
+  EXPECT_EQ(ledger.usage("red").total, Resources{});
+  EXPECT_EQ(ledger.usage("green").total, Resources{});
+  EXPECT_EQ(ledger.cores_below(Priority::production), 0);
 }
 
 TEST(QuotaLedgerTest, AdmitsUpToTheLimitOfATeamThatIsKnown) {
   auto ledger = ledger_after({}, {});
   store_bounds(ledger);
   ledger.add(task("blue", 30));
-  const auto admit = [&](const Amounts& request, std::uint32_t task_count) {
+  const auto admit = [&](const Resources& request, std::uint32_t task_count) {
     const auto admission = ledger.admit("blue", request, task_count, kNoMachines, kToken);
     store_bounds(ledger);
     return admission == Admission::over_limit
@@ -85,7 +86,7 @@
   QuotaLedger ledger(two_teams());
   ledger.begin_term(std::nullopt, kToken);
   store_bounds(ledger);
-  const Amounts unconfirmed{32, 4, 256};
+  const Resources unconfirmed{32, 4, 256};
   ledger.add(task("red", 8));
   EXPECT_EQ(ledger.highest_usage("red", unconfirmed).cores, 40);
   EXPECT_EQ(ledger.highest_usage("red", unconfirmed).accelerators, 4);
@@ -101,7 +102,7 @@
 
 TEST(QuotaLedgerTest, WhatUnconfirmedMachinesHoldIsBoundedByTheRecordOfTheLastTerm) {
   auto ledger = ledger_after({24, 0, 0}, {8, 0, 0});
-  const Amounts unconfirmed{64, 0, 512};
+  const Resources unconfirmed{64, 0, 512};
   EXPECT_EQ(ledger.highest_usage("red", unconfirmed).cores, 24);
   EXPECT_EQ(ledger.highest_usage("blue", unconfirmed).cores, 8);
   EXPECT_EQ(ledger.highest_usage("blue", {4, 0, 32}).cores, 4);
@@ -122,7 +123,7 @@
   ledger.add(task("", 16));
   EXPECT_EQ(ledger.highest_usage("red", kNoMachines).cores, 16);
   EXPECT_EQ(ledger.highest_usage("blue", kNoMachines).cores, 16);
-  EXPECT_EQ(ledger.usage("red").total, Amounts{});
+  EXPECT_EQ(ledger.usage("red").total, Resources{});
   // They are of a team that has no guarantee to borrow above.
   EXPECT_FALSE(ledger.borrows("", false));
   EXPECT_FALSE(ledger.others_borrow("red"));
@@ -131,7 +132,7 @@
 TEST(QuotaLedgerTest, BorrowingCountsServicesApart) {
   QuotaLedger ledger(two_teams());
   ledger.begin_term(std::nullopt, kToken);
-  ledger.add(task("blue", 8, Rank::normal, true));
+  ledger.add(task("blue", 8, Priority::normal, true));
   ledger.add(task("blue", 2));
   EXPECT_FALSE(ledger.borrows("blue", false));
   EXPECT_FALSE(ledger.others_borrow("red"));
@@ -144,7 +145,7 @@
   EXPECT_FALSE(ledger.borrows("blue", true));
   EXPECT_TRUE(ledger.others_borrow("red"));
   EXPECT_FALSE(ledger.others_borrow("blue"));
-  ledger.add(task("blue", 3, Rank::normal, true));
+  ledger.add(task("blue", 3, Priority::normal, true));
   EXPECT_TRUE(ledger.borrows("blue", true));
 }
 
--- a/tests/reachability_probe_test.cpp
+++ b/tests/reachability_probe_test.cpp
@@ -21,13 +21,13 @@
 class ReachabilityProbeTest : public testing::Test {
  protected:
   struct Request {
-    wire::HostId machine_id;
+    wire::MachineId machine_id;
     std::function<void()> done;
   };
 
   void add_machines(int count) {
     for (int i = 0; i < count; ++i) {
-      const wire::HostId machine_id{"machine-" + std::to_string(i)};
+      const wire::MachineId machine_id{"machine-" + std::to_string(i)};
       machines_[machine_id] = {.last_heartbeat_at = loop_.now()};
     }
   }
@@ -60,7 +60,7 @@
   }
 
   test_support::ManualLoop loop_;
-  std::map<wire::HostId, MachineState> machines_;
+  std::map<wire::MachineId, MachineState> machines_;
   std::vector<Request> requests_;
   double term_began_at_ = 0;
   bool peer_heard_ = true;
@@ -69,15 +69,15 @@
                            std::make_shared<spdlog::logger>("test"),
                            {40, 3, 3, 3},
                            {[this] {
-                              std::vector<wire::HostId> candidates;
+                              std::vector<wire::MachineId> candidates;
                               for (const auto& [machine_id, state] : machines_)
                                 candidates.push_back(machine_id);
                               return candidates;
                             },
-                            [this](const wire::HostId& machine_id, std::function<void()> done) {
+                            [this](const wire::MachineId& machine_id, std::function<void()> done) {
                               requests_.push_back({machine_id, std::move(done)});
                             },
-                            [this](const wire::HostId& machine_id) -> std::optional<MachineState> {
+                            [this](const wire::MachineId& machine_id) -> std::optional<MachineState> {
                               const auto found = machines_.find(machine_id);
                               return found == machines_.end() ? std::nullopt : std::optional(found->second);
                             },
@@ -121,7 +121,7 @@
 TEST_F(ReachabilityProbeTest, AsksAtMostFortyEightMachinesEachOnce) {
   add_machines(500);
   ASSERT_TRUE(sample_after(0));
-  std::set<wire::HostId> asked;
+  std::set<wire::MachineId> asked;
   for (const auto& request : requests_) asked.insert(request.machine_id);
   EXPECT_EQ(requests_.size(), 48U);
   EXPECT_EQ(asked.size(), 48U);
--- a/tests/rental_manager_test.cpp
+++ b/tests/rental_manager_test.cpp
@@ -9,7 +9,7 @@
 namespace bankhill::leader {
 namespace {
 
-using Kind = cloud::Rented::Kind;
+using Kind = cloud::RentalResult::Status;
 
 struct RecordedRequest {
   std::string name;
@@ -39,8 +39,9 @@
     result.may_act = [this] { return may_act; };
     result.send_to_cloud = [this](cloud::Cloud::Message message) {
       if (auto* rent = std::get_if<cloud::Rent>(&message)) rent_requests.push_back(std::move(*rent));
-      if (auto* release = std::get_if<cloud::Release>(&message)) terminations.push_back(std::move(*release));
-      if (auto* list = std::get_if<cloud::ListHosts>(&message)) list_requests.push_back(std::move(*list));
+      if (auto* release = std::get_if<cloud::Terminate>(&message))
+        terminations.push_back(std::move(*release));
+      if (auto* list = std::get_if<cloud::ListMachines>(&message)) list_requests.push_back(std::move(*list));
     };
     result.machine_type = [this](const std::string& name) { return name == type.name ? &type : nullptr; };
     result.store_request = [this](const std::string& name, const wire::RentalRecord& record,
@@ -51,8 +52,8 @@
       recorded_machines.push_back({name, record});
     };
     result.remove_record = [this](const std::string& name) { removed_records.push_back(name); };
-    result.terminating = [this](const model::Machine& machine) { terminating.push_back(machine.host); };
-    result.terminated = [this](const wire::HostId& machine_id) {
+    result.terminating = [this](const model::Machine& machine) { terminating.push_back(machine.id); };
+    result.terminated = [this](const wire::MachineId& machine_id) {
       terminated.push_back(machine_id);
       if (fleet.find(machine_id) != nullptr) fleet.erase(machine_id);
     };
@@ -61,8 +62,8 @@
     return result;
   }
 
-  static std::vector<wire::HostId> machine_ids(int count, int first = 0) {
-    std::vector<wire::HostId> result;
+  static std::vector<wire::MachineId> machine_ids(int count, int first = 0) {
+    std::vector<wire::MachineId> result;
     for (int i = first; i < first + count; ++i) result.push_back({"n-" + std::to_string(1000 + i)});
     return result;
   }
@@ -77,24 +78,24 @@
   void add_machines(int count, int first = 0) {
     for (const auto& machine_id : machine_ids(count, first)) {
       auto* machine = fleet.add(machine_id).first;
-      machine->flavor = type.name;
-      machine->rack_room = "a";
-      machine->size = type.size;
+      machine->machine_type = type.name;
+      machine->zone = "a";
+      machine->capacity = type.capacity;
       machine->up = machine->recorded = machine->confirmed = true;
       fleet.refresh(*machine);
     }
   }
 
-  void terminate(const wire::HostId& machine_id) {
+  void terminate(const wire::MachineId& machine_id) {
     manager->terminate(*fleet.find(machine_id), "idle");
     loop.run_posted();
   }
 
-  static wire::Flavor make_type() {
-    wire::Flavor result;
+  static wire::MachineType make_type() {
+    wire::MachineType result;
     result.name = "large";
-    result.size = {16, 0, 64};
-    result.rack_rooms = {"a", "b", "c"};
+    result.capacity = {16, 0, 64};
+    result.zones = {"a", "b", "c"};
     return result;
   }
 
@@ -102,7 +103,7 @@
   runtime::Log log =
       std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::null_sink_mt>());
   RentalManager::Settings settings{3, 16, 40, 5, 1000, ""};
-  wire::Flavor type = make_type();
+  wire::MachineType type = make_type();
   bool may_act = true;
   model::Fleet fleet;
 
@@ -111,10 +112,10 @@
   std::vector<RecordedMachines> recorded_machines;
   std::vector<std::string> removed_records;
   std::vector<cloud::Rent> rent_requests;
-  std::vector<cloud::Release> terminations;
-  std::vector<cloud::ListHosts> list_requests;
-  std::vector<wire::HostId> terminating;
-  std::vector<wire::HostId> terminated;
+  std::vector<cloud::Terminate> terminations;
+  std::vector<cloud::ListMachines> list_requests;
+  std::vector<wire::MachineId> terminating;
+  std::vector<wire::MachineId> terminated;
   std::map<std::string, int> events;
   int plans_wanted = 0;
   std::optional<RentalManager> manager;
@@ -125,12 +126,12 @@
   ASSERT_EQ(recorded_requests.size(), 1U);
   EXPECT_EQ(recorded_requests[0].name, "r-7-1");
   const auto& record = recorded_requests[0].record;
-  EXPECT_EQ(record.flavor, "large");
-  EXPECT_EQ(record.rack_room, "b");
-  EXPECT_TRUE(record.reclaimable);
+  EXPECT_EQ(record.machine_type, "large");
+  EXPECT_EQ(record.zone, "b");
+  EXPECT_TRUE(record.preemptible);
   EXPECT_EQ(record.count, 3U);
-  EXPECT_EQ(record.asked_at, loop.wall());
-  EXPECT_FALSE(record.hosts);
+  EXPECT_EQ(record.requested_at, loop.wall());
+  EXPECT_FALSE(record.machine_ids);
   EXPECT_TRUE(manager->any_requested());
 
   // Neither at once nor later, as long as the record is not committed.
@@ -157,18 +158,18 @@
 
 TEST_F(RentalManagerTest, AddsTheMachinesAndClosesTheRentalOnceEachHasItsRecord) {
   request(2);
-  rent_requests[0].done({Kind::hosts, machine_ids(2)});
+  rent_requests[0].done({Kind::granted, machine_ids(2)});
   ASSERT_EQ(recorded_machines.size(), 1U);
   EXPECT_EQ(recorded_machines[0].name, "r-7-1");
-  EXPECT_EQ(recorded_machines[0].record.hosts, (std::vector<std::string>{"n-1000", "n-1001"}));
+  EXPECT_EQ(recorded_machines[0].record.machine_ids, (std::vector<std::string>{"n-1000", "n-1001"}));
   EXPECT_FALSE(manager->any_requested());
   ASSERT_EQ(fleet.size(), 2U);
   auto& machine = *fleet.find({"n-1000"});
-  EXPECT_EQ(machine.flavor, "large");
-  EXPECT_EQ(machine.rack_room, "a");
-  EXPECT_EQ(machine.size.cores, 16);
+  EXPECT_EQ(machine.machine_type, "large");
+  EXPECT_EQ(machine.zone, "a");
+  EXPECT_EQ(machine.capacity.cores, 16);
   EXPECT_EQ(machine.first_seen, loop.now());
-  EXPECT_TRUE(machine.fresh);
+  EXPECT_TRUE(machine.rented_this_term);
 
   machine.recorded = true;
   manager->reconcile_rentals();
@@ -197,9 +198,9 @@
   loop.pass(60);
   manager->reconcile_rentals();
   EXPECT_EQ(rent_requests.size(), 1U);
-  rent_requests[0].done({Kind::hosts, machine_ids(4)});
+  rent_requests[0].done({Kind::granted, machine_ids(4)});
   EXPECT_EQ(fleet.size(), 4U);
-  EXPECT_FALSE(fleet.find({"n-1000"})->fresh);  // an earlier leader may have used it
+  EXPECT_FALSE(fleet.find({"n-1000"})->rented_this_term);  // an earlier leader may have used it
 
   // Its own rentals have other names.
   EXPECT_EQ(manager->name_prefix(), "r-9-");
@@ -214,16 +215,16 @@
   manager->reconcile_rentals();
   EXPECT_TRUE(rent_requests.empty());
   ASSERT_EQ(fleet.size(), 2U);
-  EXPECT_TRUE(fleet.find({"n-2"})->reclaimable);
-  EXPECT_FALSE(fleet.find({"n-2"})->fresh);
+  EXPECT_TRUE(fleet.find({"n-2"})->preemptible);
+  EXPECT_FALSE(fleet.find({"n-2"})->rented_this_term);
 }
 
 TEST_F(RentalManagerTest, TakesWhatThereIsAndDoesNotAskAgainForAWhile) {
   request(5);
-  rent_requests[0].done({Kind::hosts, machine_ids(2)});
+  rent_requests[0].done({Kind::granted, machine_ids(2)});
   EXPECT_EQ(fleet.size(), 2U);
   ASSERT_EQ(recorded_machines.size(), 1U);
-  EXPECT_EQ(recorded_machines[0].record.hosts->size(), 2U);
+  EXPECT_EQ(recorded_machines[0].record.machine_ids->size(), 2U);
   EXPECT_EQ(plans_wanted, 1);
 
   // The pause is half a round, for this zone alone.
@@ -233,7 +234,7 @@
   EXPECT_EQ(manager->request(type, false, 3, "a"), 0);
   loop.pass(0.1);
   // One request shows whether there are some again; without doubt several go out.
-  EXPECT_EQ(manager->request(type, false, 120, "a"), cloud::kMaxRental);
+  EXPECT_EQ(manager->request(type, false, 120, "a"), cloud::kMaxMachinesPerRental);
   EXPECT_EQ(manager->request(type, false, 120, "c"), 120);
 }
 
@@ -252,13 +253,13 @@
   rent_requests[0].done({Kind::no_capacity, {}});
   loop.pass(settings.round_s / 2);
   request(5);
-  rent_requests[1].done({Kind::hosts, machine_ids(5)});
+  rent_requests[1].done({Kind::granted, machine_ids(5)});
   EXPECT_EQ(manager->request(type, false, 120, "a"), 120);
 }
 
 TEST_F(RentalManagerTest, RetriesUnderTheSameNameWhenTheCloudFails) {
   request(2);
-  rent_requests[0].done({Kind::trouble, {}});
+  rent_requests[0].done({Kind::failed, {}});
   EXPECT_TRUE(removed_records.empty());
   EXPECT_EQ(plans_wanted, 0);
   loop.pass(settings.control_interval_s / 2 - 0.1);
@@ -279,11 +280,11 @@
   ASSERT_EQ(list_requests.size(), 1U);
   manager->end_term();
   manager->begin_term(8);
-  rent_requests[0].done({Kind::hosts, machine_ids(2)});
+  rent_requests[0].done({Kind::granted, machine_ids(2)});
   terminations[0].done(true);
-  wire::ListedHost listed;
-  listed.uid = {"n-9"};
-  list_requests[0].done(std::vector<wire::ListedHost>{listed});
+  wire::ListedMachine listed;
+  listed.id = {"n-9"};
+  list_requests[0].done(std::vector<wire::ListedMachine>{listed});
   EXPECT_EQ(fleet.size(), 1U);
   EXPECT_TRUE(recorded_machines.empty());
   EXPECT_TRUE(terminated.empty());
@@ -296,7 +297,7 @@
   manager->terminate(*fleet.find({"n-1500"}), "idle");
   manager.reset();
   loop.run_posted();
-  rent_requests[0].done({Kind::hosts, machine_ids(2)});
+  rent_requests[0].done({Kind::granted, machine_ids(2)});
   EXPECT_TRUE(terminations.empty());
   EXPECT_EQ(fleet.size(), 1U);
 }
@@ -304,22 +305,22 @@
 TEST_F(RentalManagerTest, DividesALargeRequest) {
   EXPECT_EQ(manager->request(type, false, 130, "a"), 130);
   ASSERT_EQ(recorded_requests.size(), 3U);
-  EXPECT_EQ(recorded_requests[0].record.count, cloud::kMaxRental);
-  EXPECT_EQ(recorded_requests[1].record.count, cloud::kMaxRental);
+  EXPECT_EQ(recorded_requests[0].record.count, cloud::kMaxMachinesPerRental);
+  EXPECT_EQ(recorded_requests[1].record.count, cloud::kMaxMachinesPerRental);
   EXPECT_EQ(recorded_requests[2].record.count, 30U);
   double requested = 0;
   manager->visit_requested([&](const wire::RentalRecord& record) { requested += record.count; });
   EXPECT_EQ(requested, 130);
   // No more than eight at a time for one zone.
-  EXPECT_EQ(manager->request(type, false, 800, "b"), 8 * cloud::kMaxRental);
+  EXPECT_EQ(manager->request(type, false, 800, "b"), 8 * cloud::kMaxMachinesPerRental);
 }
 
 TEST_F(RentalManagerTest, RentsEvenlyOverTheZonesBeginningWithTheOneThatHasFewest) {
   add_machines(2);
   EXPECT_EQ(manager->request(type, true, 4), 4);
   std::map<std::string, std::uint32_t> by_zone;
-  for (const auto& request : recorded_requests) by_zone[request.record.rack_room] += request.record.count;
-  EXPECT_EQ(recorded_requests[0].record.rack_room, "b");
+  for (const auto& request : recorded_requests) by_zone[request.record.zone] += request.record.count;
+  EXPECT_EQ(recorded_requests[0].record.zone, "b");
   EXPECT_EQ(by_zone, (std::map<std::string, std::uint32_t>{{"a", 1}, {"b", 2}, {"c", 1}}));
 }
 
@@ -328,7 +329,7 @@
   restart();
   EXPECT_EQ(manager->request(type, false, 6), 6);
   ASSERT_EQ(recorded_requests.size(), 1U);
-  EXPECT_EQ(recorded_requests[0].record.rack_room, "c");
+  EXPECT_EQ(recorded_requests[0].record.zone, "c");
   // Preemptible ones everywhere, and steady ones elsewhere once that zone has none left.
   EXPECT_EQ(manager->request(type, true, 6), 6);
   EXPECT_EQ(recorded_requests.size(), 4U);
@@ -336,8 +337,8 @@
   rent_requests[0].done({Kind::no_capacity, {}});
   EXPECT_EQ(manager->request(type, false, 2), 2);
   ASSERT_EQ(recorded_requests.size(), 6U);
-  EXPECT_EQ(recorded_requests[4].record.rack_room, "a");
-  EXPECT_EQ(recorded_requests[5].record.rack_room, "b");
+  EXPECT_EQ(recorded_requests[4].record.zone, "a");
+  EXPECT_EQ(recorded_requests[5].record.zone, "b");
 }
 
 TEST_F(RentalManagerTest, RentsNoMoreThanTheControllersCanServe) {
@@ -355,7 +356,7 @@
   EXPECT_TRUE(terminations.empty());  // what is decided in one turn goes together
   loop.run_posted();
   ASSERT_EQ(terminations.size(), 1U);
-  EXPECT_EQ(terminations[0].hosts.size(), cloud::kMaxRelease);
+  EXPECT_EQ(terminations[0].machines.size(), cloud::kMaxTerminations);
   manager->send_terminations();
   EXPECT_EQ(terminations.size(), 1U);  // one batch at a time
 
@@ -365,7 +366,7 @@
     manager->send_terminations();
   }
   EXPECT_EQ(terminations.size(), 3U);
-  EXPECT_EQ(terminations[2].hosts.size(), 50U);
+  EXPECT_EQ(terminations[2].machines.size(), 50U);
   EXPECT_EQ(terminated, machine_ids(250));
   EXPECT_EQ(fleet.size(), 0U);
 }
@@ -376,11 +377,11 @@
   manager->terminate(machine, "idle");
   manager->terminate(machine, "silent");
   loop.run_posted();
-  EXPECT_TRUE(machine.releasing);
+  EXPECT_TRUE(machine.terminating);
   EXPECT_EQ(terminating, machine_ids(1));
   EXPECT_EQ(events, (std::map<std::string, int>{{"machines released (idle)", 1}}));
   ASSERT_EQ(terminations.size(), 1U);
-  EXPECT_EQ(terminations[0].hosts, machine_ids(1));
+  EXPECT_EQ(terminations[0].machines, machine_ids(1));
 }
 
 TEST_F(RentalManagerTest, SendsATerminationAgainWhenTheCloudFails) {
@@ -391,7 +392,7 @@
   EXPECT_FALSE(manager->recently_terminated({"n-1000"}));
   manager->send_terminations();
   ASSERT_EQ(terminations.size(), 2U);
-  EXPECT_EQ(terminations[1].hosts, machine_ids(1));
+  EXPECT_EQ(terminations[1].machines, machine_ids(1));
   terminations[1].done(true);
   EXPECT_EQ(terminated, machine_ids(1));
   EXPECT_TRUE(manager->recently_terminated({"n-1000"}));
@@ -416,12 +417,12 @@
   manager->terminate_again({"n-1000"});
   manager->send_terminations();
   ASSERT_EQ(terminations.size(), 2U);
-  EXPECT_EQ(terminations[1].hosts, machine_ids(1));
+  EXPECT_EQ(terminations[1].machines, machine_ids(1));
 }
 
 TEST_F(RentalManagerTest, DoesNotAddATerminatedMachineAgain) {
   request(2);
-  rent_requests[0].done({Kind::hosts, machine_ids(2)});
+  rent_requests[0].done({Kind::granted, machine_ids(2)});
   terminate({"n-1000"});
   terminations[0].done(true);
   ASSERT_EQ(fleet.size(), 1U);
@@ -431,9 +432,9 @@
   EXPECT_EQ(fleet.size(), 1U);
   manager->reconcile_if_due();
   ASSERT_EQ(list_requests.size(), 1U);
-  std::vector<wire::ListedHost> listed(2);
-  listed[0].uid = {"n-1000"};
-  listed[1].uid = {"n-1001"};
+  std::vector<wire::ListedMachine> listed(2);
+  listed[0].id = {"n-1000"};
+  listed[1].id = {"n-1001"};
   list_requests[0].done(listed);
   EXPECT_EQ(fleet.size(), 1U);
   EXPECT_EQ(fleet.find({"n-1000"}), nullptr);
@@ -463,20 +464,20 @@
 TEST_F(RentalManagerTest, AddsListedMachinesThatItDidNotExpect) {
   manager->reconcile_if_due();
   ASSERT_EQ(list_requests.size(), 1U);
-  std::vector<wire::ListedHost> listed(2);
+  std::vector<wire::ListedMachine> listed(2);
   listed[0] = {{"n-1"}, "10.0.0.1:1", "large", "b", true, "running", 30};
   listed[1] = {{"n-2"}, "10.0.0.2:1", "large", "b", false, "failed", 30};
   list_requests[0].done(listed);
   loop.run_posted();
   ASSERT_EQ(fleet.size(), 2U);
   const auto& machine = *fleet.find({"n-1"});
-  EXPECT_EQ(machine.rack_room, "b");
-  EXPECT_TRUE(machine.reclaimable);
-  EXPECT_EQ(machine.size.cores, 16);
+  EXPECT_EQ(machine.zone, "b");
+  EXPECT_TRUE(machine.preemptible);
+  EXPECT_EQ(machine.capacity.cores, 16);
   EXPECT_EQ(machine.first_seen, loop.now() - 30);
-  EXPECT_FALSE(machine.releasing);
+  EXPECT_FALSE(machine.terminating);
   ASSERT_EQ(terminations.size(), 1U);
-  EXPECT_EQ(terminations[0].hosts, std::vector<wire::HostId>{{"n-2"}});
+  EXPECT_EQ(terminations[0].machines, std::vector<wire::MachineId>{{"n-2"}});
   EXPECT_EQ(events["unexpected machines"], 2);
   EXPECT_EQ(events["machines released (failed by the cloud's list)"], 1);
 }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -21,7 +21,7 @@
 
 TEST(Settings, Reads) {
   const auto settings = parse_settings(good().dump());
-  EXPECT_EQ(settings.siblings.at(0).addr, "10.0.0.2:8081");
+  EXPECT_EQ(settings.peers.at(0).addr, "10.0.0.2:8081");
   EXPECT_EQ(settings.teams.at(0).limit.cores, 9.5);
   EXPECT_EQ(settings.within_s.at("x"), (std::vector<double>{60, 120}));
 }
@@ -36,7 +36,7 @@
   EXPECT_EQ(parse_settings(some.dump()).gang_wait_s, 50);
   EXPECT_EQ(parse_settings(some.dump()).gang_peer_s, 4.5);
   some["params"]["workers"]["gang_wait_s"] = -1;
-  EXPECT_THROW(parse_settings(some.dump()), BadSettings);
+  EXPECT_THROW(parse_settings(some.dump()), SettingsError);
 }
 
 // A guest team comes without guarantee and limit: written as 0, as null, or left out.
@@ -57,7 +57,7 @@
   some["params"]["teams"] = wire::Json::array();
   EXPECT_NO_THROW(parse_settings(some.dump())) << "a site may have no teams yet";
   some["params"]["teams"].push_back({{"name", "bad"}, {"cpus_max", -1}});
-  EXPECT_THROW(parse_settings(some.dump()), BadSettings);
+  EXPECT_THROW(parse_settings(some.dump()), SettingsError);
 }
 
 // Limits to come are kept to from the start; each may be missing, and a larger one changes nothing.
@@ -67,18 +67,18 @@
   auto settings = parse_settings(some.dump());
   EXPECT_EQ(settings.state_value_kb, 2);
   EXPECT_EQ(settings.state_txn_ops, 32U);
-  EXPECT_EQ(settings.state_write_rps, 42.5);
-  EXPECT_EQ(settings.state_rps, 250);
+  EXPECT_EQ(settings.state_writes_per_s, 42.5);
+  EXPECT_EQ(settings.state_requests_per_s, 250);
   for (const auto& next : {wire::Json(nullptr), wire::Json::object()}) {
     some["params"]["state"]["next"] = next;
     settings = parse_settings(some.dump());
     EXPECT_EQ(settings.state_value_kb, 8);
-    EXPECT_EQ(settings.state_write_rps, 60);
+    EXPECT_EQ(settings.state_writes_per_s, 60);
   }
   some["params"]["state"]["next"] = {{"value_kb", 0}};
-  EXPECT_THROW(parse_settings(some.dump()), BadSettings);
+  EXPECT_THROW(parse_settings(some.dump()), SettingsError);
   some["params"]["state"]["next"] = 7;
-  EXPECT_THROW(parse_settings(some.dump()), BadSettings);
+  EXPECT_THROW(parse_settings(some.dump()), SettingsError);
 }
 
 TEST(Settings, ErrorsNameTheField) {
@@ -91,19 +91,19 @@
     try {
       parse_settings(broken.dump());
       FAIL() << pointer << " may be missing";
-    } catch (const BadSettings& error) {
+    } catch (const SettingsError& error) {
       EXPECT_NE(std::string(error.what()).find("'" + where.back() + "'"), std::string::npos) << error.what();
     }
   }
   auto broken = good();
   broken["params"]["workers"]["cancel_s"] = 44;
-  EXPECT_THROW(parse_settings(broken.dump()), BadSettings);
+  EXPECT_THROW(parse_settings(broken.dump()), SettingsError);
   // No leader could extend a lease and be sure that what is cancelled is gone in time (invariant 34).
   broken["params"]["workers"]["cancel_s"] = 48;
-  EXPECT_THROW(parse_settings(broken.dump()), BadSettings);
+  EXPECT_THROW(parse_settings(broken.dump()), SettingsError);
   broken = good();
   broken["api_addr"] = "10.0.0.1";
-  EXPECT_THROW(parse_settings(broken.dump()), BadSettings);
+  EXPECT_THROW(parse_settings(broken.dump()), SettingsError);
 }
 
 // Invariant 34: whatever the platform sets, the sum holds or the settings are refused.
@@ -111,7 +111,7 @@
   int held = 0;
   for (double lease = 1; lease < 300; lease += 7)
     for (double margin = 0.5; margin < 200; margin *= 1.3) {
-      const model::CancelBudget budget(lease, lease + margin, 4);
+      const model::CancellationBound budget(lease, lease + margin, 4);
       if (!budget.holds()) continue;
       ++held;
       EXPECT_GE(budget.read_age_s(), 2);
@@ -120,17 +120,17 @@
       EXPECT_LT(budget.leader_ttl_s(), budget.read_age_s()) << "a successor comes too late";
     }
   EXPECT_GT(held, 300);
-  EXPECT_FALSE(model::CancelBudget(44, 49, 4).holds());
-  EXPECT_TRUE(model::CancelBudget(44, 69, 4).holds());
+  EXPECT_FALSE(model::CancellationBound(44, 49, 4).holds());
+  EXPECT_TRUE(model::CancellationBound(44, 69, 4).holds());
 }
 
 TEST(OperatorSettings, UnknownKeysAndBadValuesAreRefused) {
   EXPECT_EQ(parse_operator_settings("alpha: 0.25\n").alpha, 0.25);
   EXPECT_NO_THROW(parse_operator_settings(""));
-  EXPECT_THROW(parse_operator_settings("alfa: 0.25\n"), BadSettings);
-  EXPECT_THROW(parse_operator_settings("alpha: 2\n"), BadSettings);
-  EXPECT_THROW(parse_operator_settings("alpha: high\n"), BadSettings);
-  EXPECT_THROW(parse_operator_settings("- 1\n"), BadSettings);
+  EXPECT_THROW(parse_operator_settings("alfa: 0.25\n"), SettingsError);
+  EXPECT_THROW(parse_operator_settings("alpha: 2\n"), SettingsError);
+  EXPECT_THROW(parse_operator_settings("alpha: high\n"), SettingsError);
+  EXPECT_THROW(parse_operator_settings("- 1\n"), SettingsError);
 }
 
 }  // namespace
--- a/tests/sim/check_records.cpp
+++ b/tests/sim/check_records.cpp
@@ -24,13 +24,14 @@
                                   [](const Json& condition) { return condition["k"] == wire::kTermKey; });
   for (const auto& write : body["writes"]) {
     const auto key = (write.contains("write") ? write["write"] : write["delete"]).get<std::string>();
-    const bool leaders = key.starts_with(wire::kMachines) || key.starts_with(wire::kRentals) ||
-                         key.starts_with(wire::kFinished) || key == wire::kCatalogueKey;
+    const bool leaders = key.starts_with(wire::kMachineKeyPrefix) ||
+                         key.starts_with(wire::kRentalKeyPrefix) ||
+                         key.starts_with(wire::kCompletionKeyPrefix) || key == wire::kCatalogueKey;
     if (leaders && !fenced) violate("fence", key + " written without the term");
-    if (!key.starts_with(wire::kMachines) || !write.contains("data")) continue;
+    if (!key.starts_with(wire::kMachineKeyPrefix) || !write.contains("data")) continue;
     // Invariant 26: what is recorded for the first time is there, or was lately.
     for (const auto& [host, address] :
-         wire::parse_machine_group(key.substr(wire::kMachines.size()), write["data"]).hosts) {
+         wire::parse_machine_group(key.substr(wire::kMachineKeyPrefix.size()), write["data"]).machines) {
       const auto gone = world_.cloud().removed().find(host.value);
       const bool lately = gone != world_.cloud().removed().end() &&
                           world_.now() - gone->second < kPhantomLeases * world_.settings().lease_s;
@@ -40,8 +41,8 @@
   }
   if (!foreign) check_policy(body);
   for (const auto& write : body["writes"])
-    if (const auto key = write.value("write", ""); key.starts_with(wire::kRentals))
-      rentals_recorded_.insert(key.substr(wire::kRentals.size()));
+    if (const auto key = write.value("write", ""); key.starts_with(wire::kRentalKeyPrefix))
+      rentals_recorded_.insert(key.substr(wire::kRentalKeyPrefix.size()));
 }
 
 // Invariants 30 and 31.
@@ -62,14 +63,14 @@
         violate("policy_back",
                 "version " + before->second.data["version"].dump() + " replaced by " + data.dump());
     }
-    if (!key.starts_with(wire::kJobs)) continue;
+    if (!key.starts_with(wire::kJobKeyPrefix)) continue;
     const auto record = wire::parse_job_record(data);
-    const auto [first, added] = cutoffs_.emplace(record.spec.uid.value, record.cutoff);
+    const auto [first, added] = cutoffs_.emplace(record.spec.id.value, record.cutoff);
     if (added && record.cutoff && *record.cutoff <= record.accepted_at)
       violate("cutoff_moved", key + " was accepted after its cutoff");
     // An earlier version that ends a job leaves it out.
     if (!added && record.cutoff != first->second &&
-        (record.cutoff || record.phase == wire::JobPhase::accepted))
+        (record.cutoff || record.state == wire::JobState::accepted))
       violate("cutoff_moved", key + " is written with another cutoff");
   }
 }
@@ -79,28 +80,29 @@
   for (int node = 0; node < world_.nodes(); ++node) {
     const auto* controller = world_.controller(node);
     if (controller == nullptr || controller->before_policies) continue;
-    for (const auto& [uid, cutoff] : cutoffs_)
-      if (const auto* job = controller->node.job({uid});
+    for (const auto& [job_id, cutoff] : cutoffs_)
+      if (const auto* job = controller->node.job({job_id});
           job != nullptr && job->live() && job->cutoff != cutoff)
-        violate("cutoff_moved", uid + " has another cutoff at a controller");
+        violate("cutoff_moved", job_id + " has another cutoff at a controller");
   }
 }
 
 // Invariant 7: a start of the forgotten attempt that is still on its way, and would be executed, would start
 // it once more.
-void RuleChecker::check_forget(const SimMachine& machine, const wire::Order& order) {
+void RuleChecker::check_forget(const SimMachine& machine, const wire::Command& command) {
   for (const auto& [id, start] : world_.direct_starts())
-    if (start.host == machine.host && start.member == order.member && start.try_no == order.try_no &&
-        start.fence >= machine.fence && start.tenure == machine.tenure)
-      violate("forgot_early", order.member.text() + " on " + machine.host);
+    if (start.host == machine.id && start.member == command.task && start.try_no == command.attempt &&
+        start.fence >= machine.fencing_token && start.tenure == machine.agent_epoch)
+      violate("forgot_early", command.task.text() + " on " + machine.id);
 }
 
 void RuleChecker::check_records() {
   for (const auto& [key, entry] : world_.keys()) {
-    if (!key.starts_with(wire::kFinished) || !entry.data.is_object()) continue;  // tampered with
-    for (const auto& [id, hex] : wire::parse_finished_bucket(key.substr(wire::kFinished.size()), entry.data))
+    if (!key.starts_with(wire::kCompletionKeyPrefix) || !entry.data.is_object()) continue;  // tampered with
+    for (const auto& [id, hex] :
+         wire::parse_completion_bucket(key.substr(wire::kCompletionKeyPrefix.size()), entry.data))
       if (const auto job = world_.jobs().find(id.job.value); job != world_.jobs().end())
-        for (const auto index : wire::parse_finished_hex(hex, id.chunk))
+        for (const auto index : wire::parse_completion_hex(hex, id.chunk))
           if (!job->second.completed.contains(index))
             violate("record", id.job.value + "/" + std::to_string(index) + " is stored as finished");
   }
@@ -109,17 +111,17 @@
 // Per job, however others fare; a status and a repeated submission each.
 void RuleChecker::check_forgotten() {
   if (world_.troubled()) troubled_at_ = world_.now();
-  for (auto& [uid, job] : world_.jobs()) {
+  for (auto& [job_id, job] : world_.jobs()) {
     if (!job.accepted) continue;
     const auto late = [this](double told) {
       return world_.now() - std::max(told, troubled_at_) > kForgottenS;
     };
     if (late(job.status_told)) {
-      violate("forgotten", uid + ": its status was not told");
+      violate("forgotten", job_id + ": its status was not told");
       job.status_told = world_.now();
     }
     if (late(job.submission_told)) {
-      violate("forgotten", uid + ": submitted again it was not answered");
+      violate("forgotten", job_id + ": submitted again it was not answered");
       job.submission_told = world_.now();
     }
   }
@@ -130,17 +132,19 @@
   if (unowned_limit_s <= 0 || world_.now() < next_owner_check_) return;
   next_owner_check_ = world_.now() + 1;
   std::set<std::string> owned;
-  for (auto key = world_.keys().lower_bound(wire::kMachines);
-       key != world_.keys().end() && key->first.starts_with(wire::kMachines); ++key)
+  for (auto key = world_.keys().lower_bound(wire::kMachineKeyPrefix);
+       key != world_.keys().end() && key->first.starts_with(wire::kMachineKeyPrefix); ++key)
     if (key->second.data.is_object())
       for (const auto& [host, address] :
-           wire::parse_machine_group(key->first.substr(wire::kMachines.size()), key->second.data).hosts)
+           wire::parse_machine_group(key->first.substr(wire::kMachineKeyPrefix.size()), key->second.data)
+               .machines)
         owned.insert(host.value);
   const bool trouble = world_.troubled() || world_.may_lose_reports() || world_.leaders() != 1 ||
                        world_.state_service().delays_commits() || world_.cloud().is_down();
   for (auto& [host, machine] : world_.machines()) {
     const bool there = machine.up && !machine.dead && world_.now() >= machine.hung_until &&
-                       world_.now() >= machine.deaf_until && world_.now() >= machine.mute_until;
+                       world_.now() >= machine.downlink_lost_until &&
+                       world_.now() >= machine.uplink_lost_until;
     if (trouble || !there || owned.contains(host)) machine.owned_at = world_.now();
     if (world_.now() - std::max(machine.owned_at, machine.up_since) <= unowned_limit_s) continue;
     violate("unowned", host);
--- a/tests/sim/cloud.cpp
+++ b/tests/sim/cloud.cpp
@@ -58,20 +58,20 @@
   const auto& machine =
       add_machine(request["flavor"].get<std::string>(), request["rack_room"].get<std::string>(),
                   request["reclaimable"].get<bool>());
-  rentals_[rental].push_back(machine.host);
+  rentals_[rental].push_back(machine.id);
   const bool quick = quick_boot_share > 0 && events_.chance(quick_boot_share);
   if (!quick && events_.chance(kNeverBoots)) return;
   const double boot_s = quick ? events_.uniform(0.1, 2) : events_.uniform(2, 14);
   events_.at(events_.now() + boot_s,
-             [this, machine_id = machine.host] { observer_.machine_booted(machine_id); });
+             [this, machine_id = machine.id] { observer_.machine_booted(machine_id); });
 }
 
 Json Cloud::list_entry(const SimMachine& machine, double lag_s) const {
   const double now = events_.now();
   const bool up = machine.up && (!lists_lag || now - machine.up_since > lag_s);
-  return {{"uid", machine.host},
-          {"address", observer_.address_of(machine.host)},
-          {"flavor", machine.flavor},
+  return {{"uid", machine.id},
+          {"address", observer_.address_of(machine.id)},
+          {"flavor", machine.machine_type},
           {"rack_room", machine.zone},
           {"reclaimable", machine.spot},
           {"phase", machine.dead ? "failed"
@@ -99,8 +99,8 @@
   char machine_id[16];
   std::snprintf(machine_id, sizeof machine_id, "n-%06d", next_machine_number_++);
   SimMachine machine;
-  machine.host = machine_id;
-  machine.flavor = machine_type;
+  machine.id = machine_id;
+  machine.machine_type = machine_type;
   machine.zone = zone;
   machine.spot = preemptible;
   machine.born = events_.now();
--- a/tests/sim/meetings.cpp
+++ b/tests/sim/combined_faults.cpp
@@ -1,4 +1,4 @@
-#include "sim/meetings.hpp"
+#include "sim/combined_faults.hpp"
 
 #include <algorithm>
 #include <array>
@@ -40,7 +40,7 @@
                              : 3,
              timing_) {
   name_ = "seed " + std::to_string(seed) + ", " + std::to_string(world_.nodes()) + " controllers, " +
-          text(timing_.report_s) + "/" + text(timing_.lease_s) + "/" + text(timing_.cancel_s);
+          text(timing_.heartbeat_interval_s) + "/" + text(timing_.lease_s) + "/" + text(timing_.cancel_s);
   draw_machines();
 }
 
@@ -67,7 +67,7 @@
     if (!world_.broken().empty()) return world_.broken();
   }
   over_ = true;
-  for (const auto& uid : long_jobs_) world_.cancel(uid);
+  for (const auto& job_id : long_jobs_) world_.cancel(job_id);
   world_.heal();
   world_.state_service().node_without_watches = world_.state_service().node_without_reads = -1;
   tell("all is well");
@@ -93,25 +93,27 @@
   auto job = world_.random_job();
   const bool lasts = kind < 0.4;
   if (lasts || kind < 0.7) {
-    job.spec.shape = wire::Shape::sweep;
-    job.spec.members = static_cast<std::uint32_t>(2 + world_.pick(2));
-    job.spec.due_s.reset();
+    job.spec.kind = wire::JobKind::array;
+    job.spec.task_count = static_cast<std::uint32_t>(2 + world_.pick(2));
+    job.spec.deadline_s.reset();
     job.kept = lasts;  // until a meeting
     job.run_s = lasts ? timing_.cancel_s * world_.uniform(0.5, 4) : world_.uniform(1, 8);
     if (!lasts) job.longer = world_.uniform(1, 3);
-    job.spec.guess_s = job.run_s;
+    job.spec.estimated_runtime_s = job.run_s;
   }
-  const auto uid = world_.submit(job);
+  const auto job_id = world_.submit(job);
   if (lasts)
-    long_jobs_.push_back(uid);
+    long_jobs_.push_back(job_id);
   else if (world_.chance(0.3))
-    world_.at(world_.now() + world_.uniform(0.5, timing_.cancel_s), [this, uid] { world_.cancel(uid); });
+    world_.at(world_.now() + world_.uniform(0.5, timing_.cancel_s),
+              [this, job_id] { world_.cancel(job_id); });
 }
 
 void MeetingDay::cancel_some(int count, double within_s) {
   for (; count > 0 && !long_jobs_.empty(); --count) {
     const auto chosen = long_jobs_.begin() + world_.pick(static_cast<int>(long_jobs_.size()));
-    world_.at(world_.now() + world_.uniform(0, within_s), [this, uid = *chosen] { world_.cancel(uid); });
+    world_.at(world_.now() + world_.uniform(0, within_s),
+              [this, job_id = *chosen] { world_.cancel(job_id); });
     long_jobs_.erase(chosen);
   }
 }
@@ -193,7 +195,7 @@
   return kind < 0.8 ? node : world_.pick(world_.nodes());
 }
 
-// Old reports that meet a new leader, who may be made for it.
+// Old heartbeats that meet a new leader, who may be made for it.
 void MeetingDay::trouble_of_reports() {
   const double share = world_.chance(0.3) ? 1 : world_.uniform(0.1, 0.8);
   const double sent = timing_.lease_s * world_.uniform(0.1, 5);
@@ -366,14 +368,14 @@
   std::vector<std::string> left;
   if (world_.leaders() != 1) left.push_back("leaders: " + std::to_string(world_.leaders()));
   if (world_.starts() <= 20) left.push_back("starts: " + std::to_string(world_.starts()));
-  for (const auto& [uid, job] : world_.jobs()) {
-    if (!job.accepted) left.push_back("never accepted: " + uid);
+  for (const auto& [job_id, job] : world_.jobs()) {
+    if (!job.accepted) left.push_back("never accepted: " + job_id);
     if (job.told_cancelled > 0) continue;
-    if (world_.doomed(job, world_.now())) left.push_back("goes on without what it needs: " + uid);
-    if (job.cancel_asked && !job.told_done) left.push_back("neither cancelled nor done: " + uid);
-    if (job.spec.shape == wire::Shape::sweep && !job.cancel_asked && !job.broken && !job.told_done)
-      left.push_back("not done: " + uid + ", " + std::to_string(job.completed.size()) + " of " +
-                     std::to_string(job.spec.members));
+    if (world_.doomed(job, world_.now())) left.push_back("goes on without what it needs: " + job_id);
+    if (job.cancel_asked && !job.told_done) left.push_back("neither cancelled nor done: " + job_id);
+    if (job.spec.kind == wire::JobKind::array && !job.cancel_asked && !job.broken && !job.told_done)
+      left.push_back("not done: " + job_id + ", " + std::to_string(job.completed.size()) + " of " +
+                     std::to_string(job.spec.task_count));
   }
   return left;
 }
--- a/tests/sim/meetings.hpp
+++ b/tests/sim/combined_faults.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace bankhill::sim {
 
@@ -15,7 +15,7 @@
   explicit MeetingDay(std::uint64_t seed, int controllers = 0);
   // Returns what broke, a line each: rules, and what was not over at the end.
   std::vector<std::string> play();
-  World& world() { return world_; }
+  SimulatedCluster& world() { return world_; }
   const std::string& name() const { return name_; }
   const std::vector<std::string>& story() const { return story_; }  // what was done to the site, and when
 
@@ -38,7 +38,7 @@
 
   Timing timing_;
   std::string name_;
-  World world_;
+  SimulatedCluster world_;
   std::vector<std::string> long_jobs_;  // not cancelled yet
   std::vector<std::string> story_;
   bool over_ = false;  // all meetings are
--- a/tests/sim/controller.cpp
+++ b/tests/sim/controller.cpp
@@ -13,7 +13,7 @@
 // Shows simulated time in the logs.
 class SimTime final : public spdlog::custom_flag_formatter {
  public:
-  explicit SimTime(const World& world) : world_(world) {}
+  explicit SimTime(const SimulatedCluster& cluster) : world_(cluster) {}
   void format(const spdlog::details::log_msg&, const std::tm&, spdlog::memory_buf_t& out) override {
     const auto text = std::to_string(world_.now());
     out.append(text.data(), text.data() + text.size());
@@ -21,24 +21,24 @@
   std::unique_ptr<custom_flag_formatter> clone() const override { return std::make_unique<SimTime>(world_); }
 
  private:
-  const World& world_;
+  const SimulatedCluster& world_;
 };
 }  // namespace
 
-runtime::Log sim_log(const World& world, const std::string& name) {
+runtime::Log sim_log(const SimulatedCluster& cluster, const std::string& name) {
   const char* level = std::getenv("LOG_LEVEL");
   auto log = runtime::make_log(name, level != nullptr ? level : "off");
   auto formatter = std::make_unique<spdlog::pattern_formatter>();
-  formatter->add_flag<SimTime>('*', world).set_pattern("%* %n %l %v");
+  formatter->add_flag<SimTime>('*', cluster).set_pattern("%* %n %l %v");
   log->set_formatter(std::move(formatter));
   return log;
 }
 
-SimLoop::SimLoop(World& world, int node, double drift, std::uint64_t seed)
-    : world_(world),
+SimLoop::SimLoop(SimulatedCluster& cluster, int node, double drift, std::uint64_t seed)
+    : world_(cluster),
       node_(node),
       drift_(drift),
-      skew_(world.clock_error * (static_cast<double>(seed % 2001) / 1000 - 1)),
+      skew_(cluster.clock_error * (static_cast<double>(seed % 2001) / 1000 - 1)),
       random_(seed) {}
 double SimLoop::now() const { return world_.now() * drift_ + 1000; }
 
--- a/tests/sim/controller.hpp
+++ b/tests/sim/controller.hpp
@@ -4,18 +4,18 @@
 #include <functional>
 #include <string>
 
+#include "sim/simulated_cluster.hpp"
 #include "sim/site.hpp"
-#include "sim/world.hpp"
 
 namespace bankhill::sim {
 
 // A log whose lines show simulated time; LOG_LEVEL says how much of it is printed, by default nothing.
-runtime::Log sim_log(const World& world, const std::string& name);
+runtime::Log sim_log(const SimulatedCluster& cluster, const std::string& name);
 
 // The network as a controller's requests to state service, cloud and machines see it.
 class SimClient final : public net::Client {
  public:
-  SimClient(World& world, int node, SimLoop& loop) : world_(world), node_(node), loop_(loop) {}
+  SimClient(SimulatedCluster& cluster, int node, SimLoop& loop) : world_(cluster), node_(node), loop_(loop) {}
   void send(const std::string& address, net::Request request, double timeout_s, net::Reply reply) override {
     auto once = std::make_shared<net::Reply>(std::move(reply));
     auto answer = [this, once, alive = loop_.alive()](net::Response response) {
@@ -31,15 +31,15 @@
   }
 
  private:
-  World& world_;
+  SimulatedCluster& world_;
   int node_;
   SimLoop& loop_;
 };
 
 // Connections to the other controllers.
-class SimPeers final : public net::PeerPort {
+class SimPeers final : public net::PeerTransport {
  public:
-  SimPeers(World& world, int node) : world_(world), node_(node) {}
+  SimPeers(SimulatedCluster& cluster, int node) : world_(cluster), node_(node) {}
   bool send(const std::string& node, const wire::Frame& frame) override;
   void listen(std::function<void(const std::string&, wire::Frame)> receiver) override {
     receiver_ = std::move(receiver);
@@ -55,32 +55,32 @@
   }
 
  private:
-  World& world_;
+  SimulatedCluster& world_;
   int node_;
   std::function<void(const std::string&, wire::Frame)> receiver_;
 };
 
-struct World::Controller {
-  Controller(World& world, int index, std::uint64_t seed)
-      : spreading(world.spreading),
-        spanning(world.spanning),
-        before_policies(world.before_policies.contains(index)),
-        loop(world, index, 1 + (static_cast<int>(seed % 3) - 1) * 0.0005, seed),
-        client(world, index, loop),
-        peers(world, index),
-        node(loop, sim_log(world, controller_name(index)), settings(world, index), seed >> 1, client, client,
-             peers) {}
-  static app::Settings settings(const World& world, int index) {
-    auto result = site_settings(index, world.nodes(), world.announced, world.timing_);
-    if (const auto file = world.operator_files.find(index);
-        file != world.operator_files.end() && !world.before_policies.contains(index))
+struct SimulatedCluster::Controller {
+  Controller(SimulatedCluster& cluster, int index, std::uint64_t seed)
+      : spreading(cluster.spreading),
+        spanning(cluster.spanning),
+        before_policies(cluster.before_policies.contains(index)),
+        loop(cluster, index, 1 + (static_cast<int>(seed % 3) - 1) * 0.0005, seed),
+        client(cluster, index, loop),
+        peers(cluster, index),
+        node(loop, sim_log(cluster, controller_name(index)), settings(cluster, index), seed >> 1, client,
+             client, peers) {}
+  static app::Settings settings(const SimulatedCluster& cluster, int index) {
+    auto result = site_settings(index, cluster.nodes(), cluster.announced, cluster.timing_);
+    if (const auto file = cluster.operator_files.find(index);
+        file != cluster.operator_files.end() && !cluster.before_policies.contains(index))
       app::read_operator_settings(file->second, result);
-    result.own.final_states_kept = world.states_kept;
-    result.own.spread_workers = world.spreading;
-    if (world.spanning)
-      result.span = [&world](const std::string&, const std::string& queue) {
-        const auto found = world.spans.find(queue);
-        return found == world.spans.end() ? 1U : found->second;
+    result.own.final_states_kept = cluster.states_kept;
+    result.own.spread_workers = cluster.spreading;
+    if (cluster.spanning)
+      result.span = [&cluster](const std::string&, const std::string& job_class) {
+        const auto found = cluster.spans.find(job_class);
+        return found == cluster.spans.end() ? 1U : found->second;
       };
     return result;
   }
--- a/tests/sim/delayed_reports.cpp
+++ b/tests/sim/delayed_heartbeats.cpp
@@ -1,5 +1,6 @@
-// Reports that come late or once more: copies that the network made, and those held back until a leader wins.
-#include "sim/world.hpp"
+// Heartbeats that come late or once more: copies that the network made, and those held back until a leader
+// wins.
+#include "sim/simulated_cluster.hpp"
 
 namespace bankhill::sim {
 
@@ -8,15 +9,15 @@
 using net::Response;
 
 namespace {
-constexpr double kCopyLeases = 6;  // copies of reports are kept for so long
+constexpr double kCopyLeases = 6;  // copies of heartbeats are kept for so long
 }  // namespace
 
-void World::keep_copy(const std::string& body) {
+void SimulatedCluster::keep_copy(const std::string& body) {
   kept_.emplace_back(now(), body);
   while (now() - kept_.front().first > kCopyLeases * settings_.lease_s) kept_.pop_front();
 }
 
-void World::copies_come(double share, double within_s) {
+void SimulatedCluster::copies_come(double share, double within_s) {
   for (const auto& [sent, body] : kept_)
     if (chance(share))
       at(now() + uniform(0, within_s), [this, node = pick(node_count_), body = body] {
@@ -24,23 +25,23 @@
       });
 }
 
-void World::copy_comes(int node, const Request& report) {
+void SimulatedCluster::copy_comes(int node, const Request& report) {
   ++copies_delivered_;
   note_disturbed(now());
   to_node(node, report, [](const Response&) {});
 }
 
-void World::copies_at_win(double share, double since, double within_s, bool everywhere) {
+void SimulatedCluster::copies_at_win(double share, double since, double within_s, bool everywhere) {
   at_win_.push_back({share, since, within_s, everywhere});
 }
 
-void World::hold_reports(double share, double for_s, double after_win_s) {
+void SimulatedCluster::hold_reports(double share, double for_s, double after_win_s) {
   held_reports_.share = share;
   held_reports_.until = now() + for_s;
   held_reports_.after_win_s = after_win_s;
 }
 
-void World::won(int node) {
+void SimulatedCluster::won(int node) {
   tell(Moment::won, node);
   for (const auto& copies : std::exchange(at_win_, {}))
     for (const auto& [sent, body] : kept_) {
--- a/tests/sim/faults.cpp
+++ b/tests/sim/faults.cpp
@@ -12,13 +12,13 @@
 constexpr double kBurstS = 0.2;
 }  // namespace
 
-void World::crash(int node, double restart_after) {
+void SimulatedCluster::crash(int node, double restart_after) {
   freezes_.erase(node);
   nodes_[static_cast<std::size_t>(node)].reset();
   at(now() + restart_after, [this, node] { boot_node(node); });
 }
 
-void World::kill_machine() {
+void SimulatedCluster::kill_machine() {
   for (auto& [host, machine] : machines())
     if (machine.up && !machine.dead && chance(0.3)) {
       machine.dead = true;
@@ -26,7 +26,7 @@
     }
 }
 
-void World::hang_machine(double seconds) {
+void SimulatedCluster::hang_machine(double seconds) {
   for (auto& [host, machine] : machines())
     if (machine.up && !machine.dead && chance(0.3)) {
       machine.hung_until = now() + seconds;
@@ -34,84 +34,84 @@
     }
 }
 
-int World::cancel_now(int count, double hang_s) {
+int SimulatedCluster::cancel_now(int count, double hang_s) {
   std::map<std::string, std::set<std::string>> running;  // and where
   for (const auto& [host, machine] : machines())
-    for (const auto& [member, task] : machine.tasks) {
-      const auto job = jobs_.find(member.job.value);
-      if (job == jobs_.end() || !machine.on(member, now(), settings_.lease_s)) continue;
+    for (const auto& [task_id, task] : machine.tasks) {
+      const auto job = jobs_.find(task_id.job.value);
+      if (job == jobs_.end() || !machine.on(task_id, now(), settings_.lease_s)) continue;
       const auto& it = job->second;
       const double least_s = it.run_s * std::min(1.0, it.longer);
       const bool long_to_go =
-          it.spec.shape == wire::Shape::daemon || it.begun + least_s > now() + settings_.cancel_s;
+          it.spec.kind == wire::JobKind::service || it.begun + least_s > now() + settings_.cancel_s;
       if (long_to_go && it.accepted && !it.cancel_asked && !it.broken) running[job->first].insert(host);
     }
   std::vector<std::string> chosen;
-  for (const auto& [uid, hosts] : running) chosen.push_back(uid);
+  for (const auto& [job_id, hosts] : running) chosen.push_back(job_id);
   std::shuffle(chosen.begin(), chosen.end(), random());
   chosen.resize(std::min(chosen.size(), static_cast<std::size_t>(std::max(0, count))));
   std::set<std::string> hang;
-  for (const auto& uid : chosen) {
-    at(now() + uniform(0, kBurstS), [this, uid] { user_cancel(uid); });
-    for (const auto& host : running.at(uid))
+  for (const auto& job_id : chosen) {
+    at(now() + uniform(0, kBurstS), [this, job_id] { user_cancel(job_id); });
+    for (const auto& host : running.at(job_id))
       if (hang_s > 0 && hang.size() < kBurstHangs) hang.insert(host);
   }
   for (const auto& host : hang) machines().at(host).hung_until = now() + hang_s;
   return static_cast<int>(chosen.size());
 }
 
-void World::kill_machines(double share) {
+void SimulatedCluster::kill_machines(double share) {
   for (auto& [host, machine] : machines())
     if (machine.up && chance(share)) machine.dead = true;
 }
 
-void World::kill_zone(const std::string& zone, double share) {
+void SimulatedCluster::kill_zone(const std::string& zone, double share) {
   for (auto& [host, machine] : machines())
     if (machine.up && machine.zone == zone && chance(share)) machine.dead = true;
 }
 
-void World::hang_machines(double share, double seconds) {
+void SimulatedCluster::hang_machines(double share, double seconds) {
   for (auto& [host, machine] : machines())
     if (machine.up && !machine.dead && chance(share)) machine.hung_until = now() + seconds;
 }
 
-void World::deafen_machine(double seconds) {
+void SimulatedCluster::deafen_machine(double seconds) {
   for (auto& [host, machine] : machines())
     if (machine.up && !machine.dead && chance(0.3)) {
-      machine.deaf_until = now() + seconds;
+      machine.downlink_lost_until = now() + seconds;
       return;
     }
 }
 
-void World::deafen_machines(double share, double seconds, const std::string& zone) {
+void SimulatedCluster::deafen_machines(double share, double seconds, const std::string& zone) {
   for (auto& [host, machine] : machines())
     if (machine.up && !machine.dead && (zone.empty() || machine.zone == zone) && chance(share))
-      machine.deaf_until = now() + seconds;
+      machine.downlink_lost_until = now() + seconds;
 }
 
-void World::mute_machines(double share, double seconds, const std::string& zone) {
+void SimulatedCluster::mute_machines(double share, double seconds, const std::string& zone) {
   for (auto& [host, machine] : machines())
     if (machine.up && !machine.dead && (zone.empty() || machine.zone == zone) && chance(share))
-      std::tie(machine.mute_since, machine.mute_until) = std::pair(now(), now() + seconds);
+      std::tie(machine.uplink_lost_since, machine.uplink_lost_until) = std::pair(now(), now() + seconds);
 }
 
-void World::sicken_machine() {
+void SimulatedCluster::sicken_machine() {
   for (auto& [host, machine] : machines())
     if (machine.up && !machine.dead && chance(0.3)) {
-      machine.sick = true;
+      machine.unhealthy = true;
       return;
     }
 }
 
-void World::reclaim_wave(double share, double notice) {
+void SimulatedCluster::reclaim_wave(double share, double notice) {
   for (auto& [host, machine] : machines())
     if (machine.spot && machine.up && !machine.dead && chance(share)) {
-      machine.taken_at = now() + std::max(0.01, notice * uniform(0.5, 1.5));
+      machine.preempted_at = now() + std::max(0.01, notice * uniform(0.5, 1.5));
       want_report(machine);
     }
 }
 
-void World::back_at_once(int node) {
+void SimulatedCluster::back_at_once(int node) {
   const auto name = controller_name(node);
   if (chance(0.5)) {
     const auto other = chance(0.5) ? std::string("state") : controller_name(pick(node_count_));
@@ -124,14 +124,14 @@
     at(when + away + uniform(0.01, 0.95 - away), [this, node] { crash(node, uniform(0.05, 0.9)); });
 }
 
-void World::restart_machine(const std::string& host, double away_s, Back how) {
+void SimulatedCluster::restart_machine(const std::string& host, double away_s, Back how) {
   auto& machine = machines().at(host);
   note_disturbed(now() + away_s);
   machine.up = machine.in_flight = false;
   machine.tasks.clear();
   ++machine.exchange;
-  machine.tenure = how == Back::first_day ? 1 : machine.tenure + 1;
-  if (how != Back::next_session) machine.counter = machine.fence = 0;
+  machine.agent_epoch = how == Back::first_day ? 1 : machine.agent_epoch + 1;
+  if (how != Back::next_session) machine.sequence = machine.fencing_token = 0;
   at(now() + away_s, [this, host] {
     const auto found = machines().find(host);
     if (found == machines().end()) return;
@@ -142,7 +142,7 @@
   });
 }
 
-void World::restart_machines(double share) {
+void SimulatedCluster::restart_machines(double share) {
   for (auto& [host, machine] : machines())
     if (machine.up && !machine.dead && now() >= machine.hung_until && chance(share)) {
       restart_machine(host, uniform(0.05, 0.9), chance(0.5) ? Back::next_session : Back::counts_anew);
@@ -155,7 +155,7 @@
     }
 }
 
-void World::random_fault() {
+void SimulatedCluster::random_fault() {
   const double length = uniform(2, 30);
   const bool hold = chance(0.5);
   const auto node = controller_name(pick(node_count_));
@@ -236,7 +236,7 @@
   }
 }
 
-void World::heal() {
+void SimulatedCluster::heal() {
   state_service_.heal();
   cloud_.heal();
   zone_cut_.link.until = std::min(zone_cut_.link.until, now());
@@ -244,20 +244,22 @@
   for (auto* habit : {&close_until_, &odd_until_, &end_until_}) *habit = std::min(*habit, now());
   slow_until_ = std::min(slow_until_, now());
   for (auto& [node, until] : mute_until_) until = std::min(until, now());
-  for (auto& [host, machine] : machines()) machine.deaf_until = std::min(machine.deaf_until, now());
-  for (auto& [host, machine] : machines()) machine.mute_until = std::min(machine.mute_until, now());
+  for (auto& [host, machine] : machines())
+    machine.downlink_lost_until = std::min(machine.downlink_lost_until, now());
+  for (auto& [host, machine] : machines())
+    machine.uplink_lost_until = std::min(machine.uplink_lost_until, now());
   for (auto& [node, freeze] : freezes_) freeze.pending = 0;
   held_reports_.until = std::min(held_reports_.until, now());
 }
 
-std::string World::stray_machine(const std::string& zone) {
-  const auto host = cloud_.add_machine("small", zone, false).host;
+std::string SimulatedCluster::stray_machine(const std::string& zone) {
+  const auto host = cloud_.add_machine("small", zone, false).id;
   boot_machine(host);
   return host;
 }
 
 // What may keep a user from an answer, whatever becomes of machines and cloud.
-bool World::troubled() const {
+bool SimulatedCluster::troubled() const {
   return state_service_.troubled() || now() < slow_until_ || now() < zone_cut_.link.until ||
          std::any_of(links_.begin(), links_.end(),
                      [this](const auto& cut) { return now() < cut.second.until; }) ||
@@ -269,7 +271,7 @@
 }
 
 // Whether anything is out of order, machines included.
-bool World::disturbed() const {
+bool SimulatedCluster::disturbed() const {
   return troubled() || cloud_.is_down() || cloud_.lacks_capacity() || state_service_.delays_commits() ||
          now() < held_reports_.until || state_service_.share_over_limit > 0 || report_delay > 0 ||
          !state_service_.rejected_keys.empty() || state_service_.was_down() ||
@@ -277,12 +279,12 @@
                      [this](const auto& mute) { return now() < mute.second; }) ||
          std::any_of(machines().begin(), machines().end(), [this](const auto& entry) {
            const auto& machine = entry.second;
-           return !machine.dead && (machine.taken_at > 0 || now() < machine.hung_until ||
-                                    now() < machine.deaf_until || now() < machine.mute_until);
+           return !machine.dead && (machine.preempted_at > 0 || now() < machine.hung_until ||
+                                    now() < machine.downlink_lost_until || now() < machine.uplink_lost_until);
          });
 }
 
-bool World::may_lose_reports() const {
+bool SimulatedCluster::may_lose_reports() const {
   return now() < held_reports_.until || std::any_of(mute_until_.begin(), mute_until_.end(),
                                                     [this](const auto& mute) { return now() < mute.second; });
 }
--- a/tests/sim/jobs.hpp
+++ b/tests/sim/jobs.hpp
@@ -5,20 +5,20 @@
 #include <string>
 #include <vector>
 
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace bankhill::sim {
 
 // Never cancelled by its user's own choice; each task takes `cores` and 2 GB.
 inline SimJob kept_batch(std::uint32_t members, double cores, double run_s) {
   SimJob job;
-  job.spec.queue = "any";
-  job.spec.owner = "red";
-  job.spec.members = members;
-  job.spec.need = {cores, 0, 2};
-  job.spec.bundle = "img-1";
-  job.spec.size_gb = 1;
-  job.spec.guess_s = job.run_s = run_s;
+  job.spec.job_class = "any";
+  job.spec.team = "red";
+  job.spec.task_count = members;
+  job.spec.request = {cores, 0, 2};
+  job.spec.image = "img-1";
+  job.spec.image_size_gb = 1;
+  job.spec.estimated_runtime_s = job.run_s = run_s;
   job.kept = true;
   return job;
 }
@@ -26,31 +26,31 @@
 // Such a service: its tasks run until they are stopped.
 inline SimJob kept_service(std::uint32_t members, double cores) {
   auto job = kept_batch(members, cores, 0);
-  job.spec.shape = wire::Shape::daemon;
+  job.spec.kind = wire::JobKind::service;
   return job;
 }
 
 // Those that take machines of the small type alone.
 
 inline SimJob small_batch(std::uint32_t members, double cores, double run_s,
-                          const std::string& owner = "red") {
+                          const std::string& team = "red") {
   auto job = kept_batch(members, cores, run_s);
-  job.spec.owner = owner;
-  job.spec.flavors = std::vector<std::string>{"small"};
+  job.spec.team = team;
+  job.spec.machine_types = std::vector<std::string>{"small"};
   return job;
 }
 
 inline SimJob small_service(std::uint32_t members, double cores) {
   auto job = small_batch(members, cores, 0);
-  job.spec.shape = wire::Shape::daemon;
+  job.spec.kind = wire::JobKind::service;
   return job;
 }
 
 // A service of another team than the batches, and above them.
 inline SimJob high_service(std::uint32_t members, double cores) {
   auto job = small_service(members, cores);
-  job.spec.owner = "blue";
-  job.spec.rank = wire::Rank::high;
+  job.spec.team = "blue";
+  job.spec.priority = wire::Priority::high;
   return job;
 }
 
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -39,8 +39,9 @@
 }  // namespace
 
 // 0.3.0 takes a frame of a kind that it does not know for malformed and closes the connection.
-void World::check_frame(int node, const wire::Frame& frame) {
-  if (const auto* reports = std::get_if<wire::Reports>(&frame)) delegated_ += reports->items.size();
+void SimulatedCluster::check_frame(int node, const wire::Frame& frame) {
+  if (const auto* heartbeats = std::get_if<wire::ForwardedHeartbeats>(&frame))
+    delegated_ += heartbeats->items.size();
   const bool known_to_all = frame.index() <= 4;
   const auto& controller = nodes_[static_cast<std::size_t>(node)];
   if (!known_to_all && controller && !controller->spreading)
@@ -48,7 +49,7 @@
             controller_name(node) + " does not know frames of kind " + std::to_string(frame.index()));
 }
 
-void World::on_node(int node, std::function<void()> work) {
+void SimulatedCluster::on_node(int node, std::function<void()> work) {
   auto& freeze = freezes_[node];
   if (now() < freeze.until)
     return at(freeze.until, [this, node, work = std::move(work)] { on_node(node, work); });
@@ -60,36 +61,36 @@
   freeze.out_delay = 0;
 }
 
-double World::out_delay(const std::string& from) const {
+double SimulatedCluster::out_delay(const std::string& from) const {
   for (const auto& [node, freeze] : freezes_)
     if (freeze.out_delay > 0 && controller_name(node) == from) return freeze.out_delay;
   return 0;
 }
 
-void World::cut(const std::string& a, const std::string& b, double seconds, bool hold) {
+void SimulatedCluster::cut(const std::string& a, const std::string& b, double seconds, bool hold) {
   links_[std::minmax(a, b)] = {now() + seconds, hold};
 }
 
-void World::isolate(int node, double seconds, bool hold) {
+void SimulatedCluster::isolate(int node, double seconds, bool hold) {
   cut(controller_name(node), "state", seconds, hold);
   for (int other = 0; other < node_count_; ++other)
     if (other != node) cut(controller_name(node), controller_name(other), seconds, hold);
 }
 
-bool World::within_cut_zone(const std::string& end) const {
+bool SimulatedCluster::within_cut_zone(const std::string& end) const {
   if (end == controller_name(zone_cut_.node) || end == "workers-" + zone_cut_.zone) return true;
   const auto machine = machines().find(end);
   return machine != machines().end() && machine->second.zone == zone_cut_.zone;
 }
 
-const World::Link* World::link(const std::string& a, const std::string& b) const {
+const SimulatedCluster::Link* SimulatedCluster::link(const std::string& a, const std::string& b) const {
   if (now() < zone_cut_.link.until && within_cut_zone(a) != within_cut_zone(b)) return &zone_cut_.link;
   const auto found = links_.find(std::minmax(a, b));
   return found != links_.end() && now() < found->second.until ? &found->second : nullptr;
 }
 
-void World::carry(const std::string& from, const std::string& to, double latency,
-                  std::function<void()> deliver, const std::string& body) {
+void SimulatedCluster::carry(const std::string& from, const std::string& to, double latency,
+                             std::function<void()> deliver, const std::string& body) {
   latency += out_delay(from);
   if (held_up) {
     const double late = held_up(from, to, body);
@@ -102,7 +103,7 @@
   if (cut->hold) at(cut->until + latency, std::move(deliver));
 }
 
-void World::http(int node, const std::string& address, Request request, net::Reply reply) {
+void SimulatedCluster::http(int node, const std::string& address, Request request, net::Reply reply) {
   const auto me = controller_name(node);
   const bool state = address == settings_.state;
   const bool cloud = address == settings_.cloud;
@@ -127,11 +128,11 @@
   const auto* cut = link(me, peer);
   if (!state && !cloud && request.path == "/commands" && (cut == nullptr || cut->hold)) {
     const auto body = Json::parse(request.body);
-    for (const auto& order : wire::parse_orders(body["orders"]))
+    for (const auto& command : wire::parse_commands(body["orders"]))
       for (const auto& [host, machine] : machines())
-        if (order.verb == wire::Verb::start && address_of(host) == address) {
+        if (command.type == wire::CommandType::start && address_of(host) == address) {
           starts.push_back(++next_direct_);
-          direct_starts_[next_direct_] = {host, order.member, order.try_no,
+          direct_starts_[next_direct_] = {host, command.task, command.attempt,
                                           body["fence"].get<std::uint64_t>(),
                                           body["tenure"].get<std::uint64_t>()};
         }
--- a/tests/sim/rule_checker.cpp
+++ b/tests/sim/rule_checker.cpp
@@ -1,6 +1,6 @@
 #include "sim/rule_checker.hpp"
 
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace bankhill::sim {
 
@@ -38,11 +38,11 @@
   const double now = world_.now();
   for (const auto& [host, machine] : world_.machines()) {
     if (!machine.up || machine.dead) continue;
-    for (const auto& [member, task] : machine.tasks) {
-      const auto& job = world_.jobs().at(member.job.value);
+    for (const auto& [task_id, task] : machine.tasks) {
+      const auto& job = world_.jobs().at(task_id.job.value);
       if (job.told_cancelled > 0 && now > job.told_cancelled + world_.settings().cancel_s &&
-          machine.on(member, now, world_.settings().lease_s))
-        violate("ran_cancelled", member.text() + " on " + host);
+          machine.on(task_id, now, world_.settings().lease_s))
+        violate("ran_cancelled", task_id.text() + " on " + host);
     }
   }
 }
--- a/tests/sim/rule_checker.hpp
+++ b/tests/sim/rule_checker.hpp
@@ -17,7 +17,7 @@
 
 namespace bankhill::sim {
 
-class World;
+class SimulatedCluster;
 struct SimJob;
 
 class RuleChecker {
@@ -31,7 +31,7 @@
     CancelledStarts& operator+=(const CancelledStarts& other);
   };
 
-  explicit RuleChecker(World& world) : world_(world) {}
+  explicit RuleChecker(SimulatedCluster& cluster) : world_(cluster) {}
 
   // What is broken: a rule's name, when, and what about, a line each.
   void violate(const std::string& rule, const std::string& what);
@@ -44,11 +44,11 @@
   void check_commit(const wire::Json& transaction, bool foreign);
   void check_rental(const std::string& rental);
   // A machine starts a task that was ordered then, stops one, or forgets one that has ended.
-  void check_start(const SimMachine& machine, const wire::MemberId& task, double ordered);
-  void check_stop(const SimMachine& machine, const SimTask& state, const wire::MemberId& task);
-  void check_forget(const SimMachine& machine, const wire::Order& order);
+  void check_start(const SimMachine& machine, const wire::TaskId& task, double ordered);
+  void check_stop(const SimMachine& machine, const SimTask& state, const wire::TaskId& task);
+  void check_forget(const SimMachine& machine, const wire::Command& command);
   // A machine accepts a start.
-  void note_room_used(const SimMachine& machine, const wire::MemberId& task);
+  void note_room_used(const SimMachine& machine, const wire::TaskId& task);
   // See World::check_served.
   void check_served(double begin_within_s, double share);
 
@@ -78,7 +78,7 @@
   };
   struct RoomMade {
     std::string host;
-    wire::MemberId member;
+    wire::TaskId member;
     double at = 0;
   };
 
@@ -93,17 +93,17 @@
   void check_owners();
 
   // check_tasks.cpp
-  void check_replica_start(const SimMachine& machine, const wire::MemberId& member);
-  void check_replica_stop(const wire::MemberId& member);
+  void check_replica_start(const SimMachine& machine, const wire::TaskId& task_id);
+  void check_replica_stop(const wire::TaskId& task_id);
   void check_replicas();
 
   // check_service.cpp
   bool room_beside(const SimJob& job, const std::map<std::string, double>& team_cores) const;
   void check_stranded();
-  void note_stop(const SimMachine& machine, const wire::MemberId& member);
+  void note_stop(const SimMachine& machine, const wire::TaskId& task_id);
   void check_room_made();
 
-  World& world_;
+  SimulatedCluster& world_;
   std::vector<std::string> broken_;
   CancelledStarts cancelled_starts_;
   double troubled_at_ = 0;  // when something between users, controllers and the state service last was broken
@@ -117,8 +117,8 @@
   std::set<std::string> failed_machines_;  // dead or sick
   double next_stranded_check_ = 0;
   std::map<std::string, Wait> beside_room_;
-  std::deque<RoomMade> room_made_;                       // and not used yet
-  std::map<wire::MemberId, std::string> made_room_for_;  // class and rank, the last time
+  std::deque<RoomMade> room_made_;                     // and not used yet
+  std::map<wire::TaskId, std::string> made_room_for_;  // class and rank, the last time
 };
 
 // The broken rules, a line each.
--- a/tests/sim/scenario.hpp
+++ b/tests/sim/scenario.hpp
@@ -8,67 +8,67 @@
 #include <string>
 #include <utility>
 
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace bankhill::sim {
 
 inline constexpr double kStepS = 0.05;  // between two looks at what is waited for
 
 // Runs until that is so, or until this time; says whether it is.
-inline bool run_until(World& world, double limit, const std::function<bool()>& reached,
+inline bool run_until(SimulatedCluster& cluster, double limit, const std::function<bool()>& reached,
                       double step_s = kStepS) {
-  while (world.now() < limit && !reached()) world.run(world.now() + step_s);
+  while (cluster.now() < limit && !reached()) cluster.run(cluster.now() + step_s);
   return reached();
 }
 
 // The same, for so long at most.
-inline bool run_within(World& world, double within_s, const std::function<bool()>& reached) {
-  return run_until(world, world.now() + within_s, reached);
+inline bool run_within(SimulatedCluster& cluster, double within_s, const std::function<bool()>& reached) {
+  return run_until(cluster, cluster.now() + within_s, reached);
 }
 
 // All controllers end, and are back after so long.
-inline void crash_all(World& world, double away_s) {
-  for (int node = 0; node < world.nodes(); ++node) world.crash(node, away_s);
+inline void crash_all(SimulatedCluster& cluster, double away_s) {
+  for (int node = 0; node < cluster.nodes(); ++node) cluster.crash(node, away_s);
 }
 
 // Boots all controllers with this operators' file.
-inline void deploy_policy(World& world, const std::string& text) {
-  for (int node = 0; node < world.nodes(); ++node) {
-    world.operator_files[node] = text;
-    world.crash(node, 0);
+inline void deploy_policy(SimulatedCluster& cluster, const std::string& text) {
+  for (int node = 0; node < cluster.nodes(); ++node) {
+    cluster.operator_files[node] = text;
+    cluster.crash(node, 0);
   }
 }
 
 // Whether the checker found this rule broken.
-inline bool broke_rule(World& world, const std::string& rule) {
-  return std::any_of(world.broken().begin(), world.broken().end(),
+inline bool broke_rule(SimulatedCluster& cluster, const std::string& rule) {
+  return std::any_of(cluster.broken().begin(), cluster.broken().end(),
                      [&](const std::string& line) { return line.starts_with(rule + " "); });
 }
 
 // The leadership term that is stored; there must be one.
-inline std::uint64_t stored_term(const World& world) {
-  return wire::count_field(world.keys().at(wire::kTermKey).data, "n");
+inline std::uint64_t stored_term(const SimulatedCluster& cluster) {
+  return wire::count_field(cluster.keys().at(wire::kTermKey).data, "n");
 }
 
 // How many different tasks of the job run within their machines' leases.
-inline int running_tasks(World& world, const std::string& job) {
+inline int running_tasks(SimulatedCluster& cluster, const std::string& job) {
   std::set<std::uint32_t> running;
-  for (const auto& [host, machine] : world.machines())
+  for (const auto& [host, machine] : cluster.machines())
     for (const auto& [task, state] : machine.tasks)
-      if (task.job.value == job && machine.on(task, world.now(), Timing{}.lease_s))
+      if (task.job.value == job && machine.on(task, cluster.now(), Timing{}.lease_s))
         running.insert(task.index);
   return static_cast<int>(running.size());
 }
 
 // Jobs and indices of the tasks that are stored as finished.
 using FinishedTasks = std::set<std::pair<std::string, std::uint32_t>>;
-inline FinishedTasks stored_as_finished(const World& world) {
+inline FinishedTasks stored_as_finished(const SimulatedCluster& cluster) {
   FinishedTasks tasks;
-  for (const auto& [key, entry] : world.keys())
-    if (key.starts_with(wire::kFinished))
+  for (const auto& [key, entry] : cluster.keys())
+    if (key.starts_with(wire::kCompletionKeyPrefix))
       for (const auto& [id, hex] :
-           wire::parse_finished_bucket(key.substr(wire::kFinished.size()), entry.data))
-        for (const auto index : wire::parse_finished_hex(hex, id.chunk)) tasks.emplace(id.job.value, index);
+           wire::parse_completion_bucket(key.substr(wire::kCompletionKeyPrefix.size()), entry.data))
+        for (const auto index : wire::parse_completion_hex(hex, id.chunk)) tasks.emplace(id.job.value, index);
   return tasks;
 }
 
--- a/tests/sim/world.hpp
+++ b/tests/sim/simulated_cluster.hpp
@@ -24,12 +24,12 @@
 
 namespace bankhill::sim {
 
-class World;
+class SimulatedCluster;
 
 // Clock, timers and posts of one controller; all stop when the controller does.
 class SimLoop final : public runtime::Loop {
  public:
-  SimLoop(World& world, int node, double drift, std::uint64_t seed);
+  SimLoop(SimulatedCluster& cluster, int node, double drift, std::uint64_t seed);
   ~SimLoop() override { *alive_ = false; }
   double now() const override;
   double wall() const override;
@@ -39,7 +39,7 @@
   std::shared_ptr<bool> alive() const { return alive_; }
 
  private:
-  World& world_;
+  SimulatedCluster& world_;
   int node_;
   double drift_;
   double skew_;  // of its time of day
@@ -78,7 +78,7 @@
 };
 
 struct Timing {  // of the workers, seconds
-  double report_s = 3;
+  double heartbeat_interval_s = 3;
   double lease_s = 20;
   double cancel_s = 40;
 };
@@ -86,7 +86,7 @@
 // What troubles may be timed by.
 enum class Moment {
   cancelled,  // a user was told so, by this controller
-  won,        // this one's reign began
+  won,        // this one's term began
   committed,  // this one sent a transaction
   ordered,    // this one sent a machine orders, directly or as an answer
   exited      // a machine told this one that a task has ended
@@ -94,13 +94,13 @@
 
 // The simulated site. State service, cloud, clock and rules are classes of their own; the world has the
 // controllers, what the machines' workers and the users do, and the network between them.
-class World {
+class SimulatedCluster {
  public:
   // `controllers`: as many, up to ten; 0 when real processes take their place (see the smoke test). By
   // default three or five, by the seed.
-  explicit World(std::uint64_t seed) : World(seed, seed % 2 == 0 ? 5 : 3) {}
-  World(std::uint64_t seed, int controllers, Timing timing = {});
-  ~World();
+  explicit SimulatedCluster(std::uint64_t seed) : SimulatedCluster(seed, seed % 2 == 0 ? 5 : 3) {}
+  SimulatedCluster(std::uint64_t seed, int controllers, Timing timing = {});
+  ~SimulatedCluster();
 
   // Ways to controllers and machines outside the simulation.
   std::function<void(int node, net::Request, net::Reply)> to_node;
@@ -170,19 +170,19 @@
   // the next seconds.
   void copies_come(double share, double within_s);
   void copy_comes(int node, const net::Request& report);  // its answer reaches nobody
-  // Copies of so large a part of the reports and direct answers sent from `since` on (also a time to come)
+  // Copies of so large a part of the heartbeats and direct answers sent from `since` on (also a time to come)
   // are kept until somebody wins next. Then they come there, or at every controller, within so many seconds:
   // half of them at once, when the winner may not know of it yet.
   void copies_at_win(double share, double since, double within_s, bool everywhere);
-  // This part of the reports of the next seconds arrives nowhere until so long after the next win, and then
-  // at the winner, which has acted meanwhile. Their workers have gone on to other controllers by then.
+  // This part of the heartbeats of the next seconds arrives nowhere until so long after the next win, and
+  // then at the winner, which has acted meanwhile. Their workers have gone on to other controllers by then.
   void hold_reports(double share, double for_s, double after_win_s);
   // A controller that is back within a second, perhaps twice, while what it sent before may still be on its
   // way.
   void back_at_once(int node);
-  // A machine that was away for a moment, and its tasks with it: in the next session, which may count from
-  // the start and know no token, or, against the order that the protocol gives of reports, as on its first
-  // day.
+  // A machine that was away for a moment, and its tasks with it: in the next agent epoch, which may count
+  // from the start and know no token, or, against the order that the protocol gives of heartbeats, as on its
+  // first day.
   enum class Back { next_session, counts_anew, first_day };
   void restart_machine(const std::string& host, double away_s, Back how);
   void restart_machines(double share);
@@ -201,7 +201,7 @@
   // `when`.
   bool doomed(const SimJob& job, double when, double ago = 0) const;
   net::Response ask(int node, net::Request request);  // runs until it is answered, five seconds at most
-  void cancel(const std::string& uid) { user_cancel(uid); }
+  void cancel(const std::string& job_id) { user_cancel(job_id); }
   // Their habits (sim/users.cpp), for so long. Within milliseconds after a job was accepted, ended or was
   // called cancelled its user asks at all controllers, again and again, and submits it again; this share of
   // the users cancels at once.
@@ -227,7 +227,7 @@
   }
 
   // For the tests of the checker itself.
-  void force_start(const wire::MemberId& member, std::size_t machine);
+  void force_start(const wire::TaskId& task_id, std::size_t machine);
   std::uint64_t service_stops = 0;  // services stopped by command while nobody had cancelled them
   std::vector<std::string>& broken() { return rules_.broken(); }
   std::map<std::string, SimMachine>& machines() { return cloud_.machines(); }
@@ -247,8 +247,10 @@
   // Tasks that started after a user was told that their job is cancelled.
   using CancelledStarts = RuleChecker::CancelledStarts;
   const CancelledStarts& cancelled_starts() const { return rules_.cancelled_starts(); }
-  std::set<std::string> awaited_starts() const;           // machines that direct starts are on their way to
-  std::uint64_t delegated() const { return delegated_; }  // reports that went through delegates
+  std::set<std::string> awaited_starts() const;  // machines that direct starts are on their way to
+  std::uint64_t delegated() const {
+    return delegated_;
+  }  // heartbeats that went through forwarding controllers
 
   int nodes() const { return node_count_; }
   static constexpr int kNodes = 3;  // real processes of the smoke test
@@ -271,8 +273,8 @@
   // and "workers-" with a zone (reports and theirs); the body is empty between controllers.
   std::function<double(const std::string& from, const std::string& to, const std::string& body)> held_up;
   // Whether all members of a replica run, and how many replicas of the job are whole.
-  bool whole(const std::string& uid, std::uint32_t replica) const;
-  std::uint32_t whole(const std::string& uid) const;
+  bool whole(const std::string& job_id, std::uint32_t replica) const;
+  std::uint32_t whole(const std::string& job_id) const;
   bool recorded(const std::string& host) const;
   // Writes a key as no controller would, or deletes it; their watches see it.
   void tamper(const std::string& key, std::optional<wire::Json> data) {
@@ -287,8 +289,8 @@
   struct Controller;
   struct DirectStart {  // on its way to a machine
     std::string host;
-    wire::MemberId member;
-    wire::TryNo try_no;
+    wire::TaskId member;
+    wire::AttemptNumber try_no;
     std::uint64_t fence = 0;
     std::uint64_t tenure = 0;
   };
@@ -298,7 +300,7 @@
   const Controller* controller(int node) const;
   const std::map<std::uint64_t, DirectStart>& direct_starts() const { return direct_starts_; }
   // How many machines one replica takes; 1: it spans none.
-  std::uint32_t span(const wire::MemberId& member) const;
+  std::uint32_t span(const wire::TaskId& task_id) const;
   // By its user, or that of a job that it needs.
   bool cancel_asked(const SimJob& job) const;
   // Whether something may keep a user from an answer, whatever becomes of machines and cloud.
@@ -346,12 +348,12 @@
 
   void boot_machine(const std::string& host);
   void machine_step(const std::string& host);
-  wire::Report report_of(const SimMachine& machine) const;
+  wire::Heartbeat report_of(const SimMachine& machine) const;
   // `sent`: when they left their controller.
-  void execute(SimMachine& machine, const std::vector<wire::Order>& orders, double sent);
-  void start(SimMachine& machine, const wire::MemberId& member, wire::TryNo try_no, double ordered);
-  void image_ready(const std::string& host, const wire::MemberId& member, std::uint64_t try_no);
-  void task_ended(const std::string& host, const wire::MemberId& member, std::uint64_t try_no);
+  void execute(SimMachine& machine, const std::vector<wire::Command>& commands, double sent);
+  void start(SimMachine& machine, const wire::TaskId& task_id, wire::AttemptNumber attempt, double ordered);
+  void image_ready(const std::string& host, const wire::TaskId& task_id, std::uint64_t attempt);
+  void task_ended(const std::string& host, const wire::TaskId& task_id, std::uint64_t attempt);
   void want_report(SimMachine& machine);
   // Whether what this controller tells the machine is lost; counts the starts in it.
   bool unheard(int node, const std::string& host, const std::string& body);
@@ -361,15 +363,15 @@
   void keep_copy(const std::string& body);
   void won(int node);  // its transaction was carried out
 
-  void user_call(const std::string& uid, net::Request request, double timeout,
+  void user_call(const std::string& job_id, net::Request request, double timeout,
                  std::function<void(net::Response)> done, int node = -1);
-  void user_submit(const std::string& uid);
-  void user_poll(const std::string& uid);
-  void user_submit_again(const std::string& uid);
-  void user_cancel(const std::string& uid);
+  void user_submit(const std::string& job_id);
+  void user_poll(const std::string& job_id);
+  void user_submit_again(const std::string& job_id);
+  void user_cancel(const std::string& job_id);
   void answer_left(const net::Request& request, const net::Response& response, double asked);
-  void look_closely(const std::string& uid, bool just_accepted);
-  void look(const std::string& uid, net::Request request, int node);
+  void look_closely(const std::string& job_id, bool just_accepted);
+  void look(const std::string& job_id, net::Request request, int node);
   void odd_request();
   void repeat_unfinished();
   void withdraw_done();
--- a/tests/sim/site.cpp
+++ b/tests/sim/site.cpp
@@ -1,6 +1,6 @@
 #include "sim/site.hpp"
 
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace bankhill::sim {
 
@@ -19,7 +19,9 @@
                 {{"name", "blue"}, {"cpus", 12}, {"cpus_max", 24}},
                 {{"name", "guest"}, {"cpus", 0}, {"cpus_max", 0}}}},
               {"workers",
-               {{"report_s", timing.report_s}, {"lease_s", timing.lease_s}, {"cancel_s", timing.cancel_s}}},
+               {{"report_s", timing.heartbeat_interval_s},
+                {"lease_s", timing.lease_s},
+                {"cancel_s", timing.cancel_s}}},
               {"state", {{"rps", 300}, {"write_rps", 100}, {"value_kb", 8}, {"txn_ops", 16}}},
               {"cloud", {{"rps", 10}, {"list_lag_s", kListLag}}}};
   if (announced)
@@ -62,9 +64,9 @@
                  {"rack_rooms", {"za"}}}}}};
 }
 
-const wire::Amounts& machine_resources(const std::string& machine_type) {
-  static const wire::Amounts small{4, 0, 16};
-  static const wire::Amounts large{16, 0, 64};
+const wire::Resources& machine_resources(const std::string& machine_type) {
+  static const wire::Resources small{4, 0, 16};
+  static const wire::Resources large{16, 0, 64};
   return machine_type == "small" ? small : large;
 }
 
--- a/tests/sim/site.hpp
+++ b/tests/sim/site.hpp
@@ -33,6 +33,6 @@
 wire::Json cloud_catalogue();
 
 // Resources of a machine of this type.
-const wire::Amounts& machine_resources(const std::string& machine_type);
+const wire::Resources& machine_resources(const std::string& machine_type);
 
 }  // namespace bankhill::sim
--- a/tests/sim/state_service.cpp
+++ b/tests/sim/state_service.cpp
@@ -41,7 +41,7 @@
   leases_.erase(lease_id);
   std::vector<std::string> gone;
   for (const auto& [key, entry] : keys_)
-    if (entry.hold == lease_id) gone.push_back(key);
+    if (entry.lease_id == lease_id) gone.push_back(key);
   if (gone.empty()) return;
   ++revision_;
   for (const auto& key : gone) {
@@ -94,8 +94,8 @@
   Json failed = Json::array();
   for (const auto& condition : transaction["when"]) {
     const auto found = keys_.find(condition["k"].get<std::string>());
-    const auto stamp = found == keys_.end() ? 0 : found->second.stamp;
-    if (stamp != condition["stamp"].get<std::uint64_t>()) failed.push_back(condition["k"]);
+    const auto revision = found == keys_.end() ? 0 : found->second.revision;
+    if (revision != condition["stamp"].get<std::uint64_t>()) failed.push_back(condition["k"]);
   }
   return failed;
 }
@@ -245,7 +245,7 @@
     return over_limit_response();
   }
   if (unanswered_job_writes > 0 && writes.size() == 1 &&
-      writes[0].value("write", "").starts_with(wire::kJobs)) {
+      writes[0].value("write", "").starts_with(wire::kJobKeyPrefix)) {
     --unanswered_job_writes;
     commit(transaction);
     return std::nullopt;
@@ -300,7 +300,7 @@
 Response StateService::answer_list() const {
   Json items = Json::array();
   for (const auto& [key, entry] : keys_)
-    items.push_back({{"k", key}, {"data", entry.data}, {"stamp", entry.stamp}});
+    items.push_back({{"k", key}, {"data", entry.data}, {"stamp", entry.revision}});
   return {200, Json{{"items", items}, {"has_next", false}, {"epoch", revision_}}.dump(), std::nullopt};
 }
 
@@ -309,7 +309,7 @@
   const auto found = keys_.find(key);
   if (found == keys_.end()) return {404, Json{{"epoch", revision_}}.dump(), std::nullopt};
   const auto& entry = found->second;
-  return {200, Json{{"k", key}, {"data", entry.data}, {"stamp", entry.stamp}}.dump(), std::nullopt};
+  return {200, Json{{"k", key}, {"data", entry.data}, {"stamp", entry.revision}}.dump(), std::nullopt};
 }
 
 }  // namespace bankhill::sim
--- a/tests/sim/state_service.hpp
+++ b/tests/sim/state_service.hpp
@@ -21,8 +21,8 @@
 // A key's value, the revision of its last write, and the lease it goes with; 0: none.
 struct StateKey {
   wire::Json data;
-  std::uint64_t stamp = 0;
-  std::uint64_t hold = 0;
+  std::uint64_t revision = 0;
+  std::uint64_t lease_id = 0;
 };
 
 // What the service refuses to go beyond.
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <cstdio>
 
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace bankhill::sim {
 
@@ -30,18 +30,18 @@
 }
 
 Request submission(const SimJob& job) { return {Method::post, "/submissions", to_json(job.spec).dump()}; }
-Request question(const std::string& uid) { return {Method::get, "/submissions/" + uid, ""}; }
-Request withdrawal(const std::string& uid) {
-  return {Method::post, "/submissions/" + uid + "/withdraw", "{}"};
+Request question(const std::string& job_id) { return {Method::get, "/submissions/" + job_id, ""}; }
+Request withdrawal(const std::string& job_id) {
+  return {Method::post, "/submissions/" + job_id + "/withdraw", "{}"};
 }
 }  // namespace
 
 // To the millisecond, over all controllers: what one has said binds the answers to all questions that are
 // sent later, also where the user no longer waits for that answer.
-void World::answer_left(const Request& request, const Response& response, double asked) {
+void SimulatedCluster::answer_left(const Request& request, const Response& response, double asked) {
   const auto found = jobs_.find(job_of(request));
   if (found == jobs_.end()) return;
-  const auto& uid = found->first;
+  const auto& job_id = found->first;
   auto& job = found->second;
   const auto before = [asked](double left) { return left > 0 && left < asked; };
   const bool good = response.status == 200 || response.status == 201;
@@ -49,17 +49,17 @@
                           (request.method == Method::get ? "GET " : "POST ") + request.path;
   if (before(job.accepted_left) &&
       (response.status == 201 || response.status == 400 || response.status == 404 || response.status == 422))
-    violate("forgotten", uid + " was accepted: " + how);
+    violate("forgotten", job_id + " was accepted: " + how);
   if (!good) return;
   const auto phase = Json::parse(response.body)["phase"].get<std::string>();
-  if (before(job.done_left) && phase != "done") violate("went_back", uid + " was done: " + how);
+  if (before(job.done_left) && phase != "done") violate("went_back", job_id + " was done: " + how);
   if (before(job.cancelled_left) && phase != "cancelled")
-    violate("went_back", uid + " was cancelled: " + how);
+    violate("went_back", job_id + " was cancelled: " + how);
   // These two never are both true, whichever question was first.
   if ((phase == "done" && job.cancelled_left > 0) || (phase == "cancelled" && job.done_left > 0))
-    violate("went_back", uid + " is both done and cancelled: " + how);
+    violate("went_back", job_id + " is both done and cancelled: " + how);
   if (request.path.ends_with(kWithdraw) && phase != "done" && phase != "cancelled")
-    violate("went_back", uid + " withdrawn: " + how);
+    violate("went_back", job_id + " withdrawn: " + how);
   const auto first = [this](double& left) {
     if (left > 0) return false;
     left = now();
@@ -68,42 +68,43 @@
   const bool accepted = first(job.accepted_left);
   const bool done = phase == "done" && first(job.done_left);
   const bool cancelled = phase == "cancelled" && first(job.cancelled_left);
-  if (accepted || done || cancelled) look_closely(uid, accepted);
+  if (accepted || done || cancelled) look_closely(job_id, accepted);
 }
 
 // ---- close looks
 
-void World::close_looks(double seconds, double cancelled_at_once) {
+void SimulatedCluster::close_looks(double seconds, double cancelled_at_once) {
   close_until_ = std::max(close_until_, now() + seconds);
   close_cancelled_ = cancelled_at_once;
 }
 
-void World::look_closely(const std::string& uid, bool just_accepted) {
+void SimulatedCluster::look_closely(const std::string& job_id, bool just_accepted) {
   if (now() >= close_until_) return;
-  auto& job = jobs_.at(uid);
+  auto& job = jobs_.at(job_id);
   for (const double ms : {0.3, 1.0, 3.0, 6.0, 12.0, 30.0, 80.0})
     for (int node = 0; node < node_count_; ++node)
-      at(now() + ms / 1000 * uniform(0.8, 1.2), [this, uid, node] { look(uid, question(uid), node); });
+      at(now() + ms / 1000 * uniform(0.8, 1.2),
+         [this, job_id, node] { look(job_id, question(job_id), node); });
   for (const double ms : {0.5, 20.0})
     for (int node = 0; node < node_count_; ++node)
       at(now() + ms / 1000 * uniform(0.8, 1.2),
-         [this, uid, node] { look(uid, submission(jobs_.at(uid)), node); });
+         [this, job_id, node] { look(job_id, submission(jobs_.at(job_id)), node); });
   // What is over is withdrawn once more: the answer says how it ended.
   if (job.done_left > 0 || job.cancelled_left > 0)
     at(now() + uniform(0.0005, 0.03),
-       [this, uid, node = pick(node_count_)] { look(uid, withdrawal(uid), node); });
+       [this, job_id, node = pick(node_count_)] { look(job_id, withdrawal(job_id), node); });
   if (just_accepted && !job.kept && chance(close_cancelled_))
-    at(now() + uniform(0.003, 0.05), [this, uid] { user_cancel(uid); });
+    at(now() + uniform(0.003, 0.05), [this, job_id] { user_cancel(job_id); });
 }
 
-void World::look(const std::string& uid, Request request, int node) {
+void SimulatedCluster::look(const std::string& job_id, Request request, int node) {
   ++looks_;
   const bool status = request.method == Method::get;
   user_call(
-      uid, std::move(request), status ? 2 : 5,
-      [this, uid, status, asked = now()](const Response& response) {
+      job_id, std::move(request), status ? 2 : 5,
+      [this, job_id, status, asked = now()](const Response& response) {
         if (response.status != 200) return;
-        auto& job = jobs_.at(uid);
+        auto& job = jobs_.at(job_id);
         (status ? job.status_told : job.submission_told) = now();
         check_phase(job, response, asked);
       },
@@ -112,13 +113,13 @@
 
 // ---- odd requests
 
-void World::odd_requests(double seconds) {
+void SimulatedCluster::odd_requests(double seconds) {
   const bool goes_on = now() < odd_until_;
   odd_until_ = std::max(odd_until_, now() + seconds);
   if (!goes_on) odd_request();
 }
 
-void World::odd_request() {
+void SimulatedCluster::odd_request() {
   if (now() >= odd_until_) return;
   at(now() + uniform(0.05, 0.6), [this] { odd_request(); });
   switch (pick(4)) {
@@ -132,31 +133,31 @@
 }
 
 // `answer_left` knows what it may not be answered.
-void World::repeat_unfinished() {
+void SimulatedCluster::repeat_unfinished() {
   std::vector<const SimJob*> jobs;
-  for (const auto& [uid, job] : jobs_)
+  for (const auto& [job_id, job] : jobs_)
     if (job.accepted && !job.told_done && job.told_cancelled == 0) jobs.push_back(&job);
   if (jobs.empty()) return;
   const auto& job = *jobs[static_cast<std::size_t>(pick(static_cast<int>(jobs.size())))];
-  look(job.spec.uid.value, submission(job), pick(node_count_));
+  look(job.spec.id.value, submission(job), pick(node_count_));
 }
 
-void World::withdraw_done() {
+void SimulatedCluster::withdraw_done() {
   std::vector<std::string> jobs;
-  for (const auto& [uid, job] : jobs_)
-    if (job.told_done) jobs.push_back(uid);
+  for (const auto& [job_id, job] : jobs_)
+    if (job.told_done) jobs.push_back(job_id);
   if (jobs.empty()) return;
-  const auto uid = jobs[static_cast<std::size_t>(pick(static_cast<int>(jobs.size())))];
-  look(uid, withdrawal(uid), pick(node_count_));
+  const auto job_id = jobs[static_cast<std::size_t>(pick(static_cast<int>(jobs.size())))];
+  look(job_id, withdrawal(job_id), pick(node_count_));
 }
 
-void World::submit_unfit() {
+void SimulatedCluster::submit_unfit() {
   auto job = random_job();
-  char uid[24];
-  std::snprintf(uid, sizeof uid, "job-8%05d", next_odd_++);
-  job.spec.uid = {uid};
-  job.spec.owner = "red";
-  job.spec.shape = wire::Shape::sweep;
+  char job_id[24];
+  std::snprintf(job_id, sizeof job_id, "job-8%05d", next_odd_++);
+  job.spec.id = {job_id};
+  job.spec.team = "red";
+  job.spec.kind = wire::JobKind::array;
   Json body = to_json(job.spec);
   std::string text;
   int expected = 422;
@@ -205,7 +206,7 @@
   }
   if (text.empty()) text = body.dump();
   user_call("", {Method::post, "/submissions", text}, 5,
-            [this, text, expected, id = std::string(uid)](const Response& response) {
+            [this, text, expected, id = std::string(job_id)](const Response& response) {
               const int status = response.status;
               if (status == 200 || status == 201) violate("accepted_unfit", text);
               if ((status >= 400 && status < 429) && status != expected)
@@ -219,41 +220,41 @@
 
 // ---- cancellations that meet an end
 
-void World::cancel_at_end(double share, double seconds, double within_s) {
+void SimulatedCluster::cancel_at_end(double share, double seconds, double within_s) {
   end_share_ = share;
   end_until_ = std::max(end_until_, now() + seconds);
   end_within_ = within_s;
 }
 
 // Of a task that has started; the job's last one counts.
-void World::end_is_near(const SimJob& job, double ends) {
+void SimulatedCluster::end_is_near(const SimJob& job, double ends) {
   if (now() >= end_until_ || job.broken || !chance(end_share_)) return;
-  at(std::max(now(), ends + uniform(-end_within_, end_within_)), [this, uid = job.spec.uid.value, ends] {
-    auto& ending = jobs_.at(uid);
-    const auto open = ending.spec.members - ending.completed.size();
+  at(std::max(now(), ends + uniform(-end_within_, end_within_)), [this, job_id = job.spec.id.value, ends] {
+    auto& ending = jobs_.at(job_id);
+    const auto open = ending.spec.task_count - ending.completed.size();
     const bool last = now() < ends ? open == 1 : open == 0 && ending.completed_at >= ends - 0.001;
     if (!last || ending.cancel_asked) return;
     ++met_ends_;
-    user_cancel(uid);
+    user_cancel(job_id);
     // At another controller too, so that two of them want the same end.
-    if (chance(0.3)) at(now() + uniform(0, 0.01), [this, uid] { user_cancel(uid); });
+    if (chance(0.3)) at(now() + uniform(0, 0.01), [this, job_id] { user_cancel(job_id); });
   });
 }
 
-void World::completed(SimJob& job) {
-  const auto& uid = job.spec.uid.value;
+void SimulatedCluster::completed(SimJob& job) {
+  const auto& job_id = job.spec.id.value;
   job.completed_at = now();
-  look_closely(uid, false);
+  look_closely(job_id, false);
   if (!punctual) return;
   for (int node = 0; node < node_count_; ++node)
-    at(now() + kLagS, [this, uid, node] {
+    at(now() + kLagS, [this, job_id, node] {
       user_call(
-          uid, question(uid), 2,
-          [this, uid](const Response& response) {
+          job_id, question(job_id), 2,
+          [this, job_id](const Response& response) {
             const auto body = Json::parse(response.body, nullptr, false);
             const auto phase = response.status == 200 ? body.value("phase", "") : "";
             if (phase != "done" && phase != "cancelled")
-              violate("late_done", uid + ": " + std::to_string(response.status) + " " + response.body);
+              violate("late_done", job_id + ": " + std::to_string(response.status) + " " + response.body);
           },
           node);
     });
--- a/tests/smoke_test.cpp
+++ b/tests/smoke_test.cpp
@@ -14,7 +14,7 @@
 #include "net/evhttp_client.hpp"
 #include "net/evhttp_server.hpp"
 #include "runtime/event_loop.hpp"
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 extern char** environ;
 
@@ -88,7 +88,7 @@
     cloud = std::make_unique<net::EvhttpServer>(
         loop, quiet_log(), loopback(cloud_port), 60, net::SocketShares{1000, 1000},
         [this](net::Request request, const net::Reply& reply) { world.serve_cloud(request, reply); });
-    for (int node = 0; node < sim::World::kNodes; ++node) {
+    for (int node = 0; node < sim::SimulatedCluster::kNodes; ++node) {
       ports.push_back(free_port());
       peers.push_back(free_port());
     }
@@ -155,7 +155,7 @@
   std::unique_ptr<net::EvhttpServer> state;
   std::unique_ptr<net::EvhttpServer> cloud;
   std::vector<std::unique_ptr<net::EvhttpServer>> machine_servers;
-  sim::World world;  // holds replies of the servers: ends before they do
+  sim::SimulatedCluster world;  // holds replies of the servers: ends before they do
   std::map<std::string, int> machine_ports;
   int state_port = 0;
   int cloud_port = 0;
@@ -181,12 +181,12 @@
   EXPECT_EQ(status_of({net::Method::post, "/submissions", std::string(70000, ' ')}, 0), 413);
 
   sim::SimJob job;
-  job.spec.queue = "any";
-  job.spec.owner = "red";
-  job.spec.members = 3;
-  job.spec.need = {1, 0, 1};
-  job.spec.bundle = "img-1";
-  job.spec.guess_s = job.run_s = 2;
+  job.spec.job_class = "any";
+  job.spec.team = "red";
+  job.spec.task_count = 3;
+  job.spec.request = {1, 0, 1};
+  job.spec.image = "img-1";
+  job.spec.estimated_runtime_s = job.run_s = 2;
   job.kept = true;  // or its user might cancel it
   world.submit(job);
   EXPECT_TRUE(until(40, [&] { return world.jobs().begin()->second.told_done; })) << "first job";
@@ -212,8 +212,8 @@
   const auto first = world.submit(job);
   ASSERT_TRUE(until(20, [&] { return world.jobs().at(first).accepted; }));
   const std::string file = output + ".json";
-  const auto submit = [&](const std::string& uid, const std::string& waits_on) {
-    job.spec.uid = {uid};
+  const auto submit = [&](const std::string& job_id, const std::string& waits_on) {
+    job.spec.id = {job_id};
     std::ofstream(file) << to_json(job.spec).dump();
     return run({"submit", file, "--waits-on", waits_on});
   };
--- a/tests/spot_reclaim_history_test.cpp
+++ b/tests/spot_reclaim_history_test.cpp
@@ -10,10 +10,10 @@
  protected:
   void add_machine(const std::string& machine_type, bool preemptible, bool up = true) {
     auto& machine = *fleet.add({"n-" + std::to_string(fleet.size())}).first;
-    machine.flavor = machine_type;
-    machine.rack_room = "a";
-    machine.reclaimable = preemptible;
-    machine.size = {4, 0, 16};
+    machine.machine_type = machine_type;
+    machine.zone = "a";
+    machine.preemptible = preemptible;
+    machine.capacity = {4, 0, 16};
     machine.up = up;
     fleet.refresh(machine);
   }
--- a/tests/state_protocol_test.cpp
+++ b/tests/state_protocol_test.cpp
@@ -11,9 +11,9 @@
 using net::Method;
 using net::Request;
 using net::Response;
-using wire::Epoch;
 using wire::Json;
-using wire::Stamp;
+using wire::KeyRevision;
+using wire::StoreRevision;
 
 constexpr std::uint64_t kLease = 31;
 
@@ -29,9 +29,10 @@
   expect_request(list_request(""), Method::get, "/keys?starts=bankhill/&most=1000", "");
   expect_request(list_request("bankhill/job/job-1"), Method::get,
                  "/keys?starts=bankhill/&most=1000&after=bankhill/job/job-1", "");
-  expect_request(watch_request(Epoch{17}, 10000), Method::get,
+  expect_request(watch_request(StoreRevision{17}, 10000), Method::get,
                  "/watch?starts=bankhill/&after=17&block_ms=10000", "");
-  expect_request(watch_request(Epoch{}, 0), Method::get, "/watch?starts=bankhill/&after=0&block_ms=0", "");
+  expect_request(watch_request(StoreRevision{}, 0), Method::get, "/watch?starts=bankhill/&after=0&block_ms=0",
+                 "");
   expect_request(key_request("bankhill/term"), Method::get, "/keys/bankhill/term", "");
   expect_request(open_lease_request(2.5), Method::post, "/leases", R"({"ttl_ms":2500})");
   expect_request(renew_lease_request(kLease), Method::post, "/leases/31/touch", "{}");
@@ -40,7 +41,7 @@
 
 TEST(StateProtocol, Transactions) {
   Transaction transaction;
-  transaction.when = {{"a", Stamp{0}}, {"b", Stamp{7}}};
+  transaction.conditions = {{"a", KeyRevision{0}}, {"b", KeyRevision{7}}};
   transaction.writes = {
       {"a", Json{{"x", 1}}, std::nullopt}, {"b", std::nullopt, std::nullopt}, {"c", Json(2), kLease}};
   expect_request(commit_request(transaction), Method::post, "/commit",
@@ -52,50 +53,50 @@
 
 TEST(StateProtocol, OutcomesOfTransactions) {
   const auto outcome = [](int status) { return parse_commit(response(status, R"({"epoch":5})")).outcome; };
-  EXPECT_EQ(outcome(200), Outcome::done);
+  EXPECT_EQ(outcome(200), Outcome::committed);
   EXPECT_EQ(outcome(409), Outcome::conflict);
-  EXPECT_EQ(outcome(400), Outcome::malformed);
-  EXPECT_EQ(outcome(429), Outcome::limited);
+  EXPECT_EQ(outcome(400), Outcome::invalid);
+  EXPECT_EQ(outcome(429), Outcome::rate_limited);
   EXPECT_EQ(outcome(500), Outcome::refused);
   EXPECT_EQ(outcome(0), Outcome::unknown) << "no answer: it may have been carried out";
-  EXPECT_EQ(parse_commit(response(409, R"({"epoch":5,"failed":["a"]})")).epoch, Epoch{5});
-  EXPECT_EQ(parse_commit(response(200, "no JSON")).outcome, Outcome::done);
-  EXPECT_EQ(parse_commit(response(200, "no JSON")).epoch, Epoch{0});
+  EXPECT_EQ(parse_commit(response(409, R"({"epoch":5,"failed":["a"]})")).revision, StoreRevision{5});
+  EXPECT_EQ(parse_commit(response(200, "no JSON")).outcome, Outcome::committed);
+  EXPECT_EQ(parse_commit(response(200, "no JSON")).revision, StoreRevision{0});
 }
 
 TEST(StateProtocol, PagesOfAList) {
   const auto first = response(200, R"({"items":[{"k":"a","data":{"x":1},"stamp":3},{"k":"b","stamp":4}],)"
                                    R"("has_next":true,"epoch":9})");
   const auto page = std::get<KeyPage>(parse_list(first, true));
-  EXPECT_EQ(page.epoch, Epoch{9});
+  EXPECT_EQ(page.epoch, StoreRevision{9});
   EXPECT_TRUE(page.has_next);
   ASSERT_EQ(page.entries.size(), 2U);
   EXPECT_EQ(page.entries[0].first, "a");
   EXPECT_EQ(page.entries[0].second.data, (Json{{"x", 1}}));
-  EXPECT_EQ(page.entries[0].second.stamp, Stamp{3});
+  EXPECT_EQ(page.entries[0].second.revision, KeyRevision{3});
   EXPECT_EQ(page.entries[1].first, "b");
   EXPECT_TRUE(page.entries[1].second.data.is_null());
 
   const auto last = std::get<KeyPage>(parse_list(response(200, R"({"items":[]})"), false));
   EXPECT_FALSE(last.has_next);
   EXPECT_TRUE(last.entries.empty());
-  EXPECT_THROW(parse_list(response(200, R"({"items":[]})"), true), wire::Malformed) << "as new as what?";
+  EXPECT_THROW(parse_list(response(200, R"({"items":[]})"), true), wire::ProtocolError) << "as new as what?";
 }
 
 TEST(StateProtocol, NewsOfAWatch) {
   const auto answer = response(200, R"({"epoch":9,"news":[{"write":"a","data":1,"stamp":7},)"
                                     R"({"write":"b","data":2,"stamp":8},{"delete":"a","stamp":9}]})");
-  const auto news = std::get<News>(parse_watch(answer, Epoch{7}));
-  EXPECT_EQ(news.epoch, Epoch{9});
+  const auto news = std::get<News>(parse_watch(answer, StoreRevision{7}));
+  EXPECT_EQ(news.epoch, StoreRevision{9});
   ASSERT_EQ(news.changes.size(), 2U) << "what is known is left out";
   EXPECT_EQ(news.changes[0].key, "b");
   EXPECT_EQ(news.changes[0].data, Json(2));
-  EXPECT_EQ(news.changes[0].stamp, Stamp{8});
+  EXPECT_EQ(news.changes[0].revision, KeyRevision{8});
   EXPECT_EQ(news.changes[1].key, "a");
   EXPECT_FALSE(news.changes[1].data.has_value());
 
   for (const auto* quiet : {R"({"epoch":9})", R"({"epoch":9,"news":null})", R"({"epoch":9,"news":[]})"})
-    EXPECT_TRUE(std::get<News>(parse_watch(response(200, quiet), Epoch{7})).changes.empty()) << quiet;
+    EXPECT_TRUE(std::get<News>(parse_watch(response(200, quiet), StoreRevision{7})).changes.empty()) << quiet;
 }
 
 TEST(StateProtocol, ErrorsOfListsAndWatches) {
@@ -103,7 +104,7 @@
     return std::get<AnswerError>(parse_list(response(status, body), true));
   };
   const auto watch_error = [](int status, const char* body) {
-    return std::get<AnswerError>(parse_watch(response(status, body), Epoch{}));
+    return std::get<AnswerError>(parse_watch(response(status, body), StoreRevision{}));
   };
   for (const int status : {0, 404, 500, 503}) {
     EXPECT_EQ(list_error(status, "{}"), AnswerError::unusable) << status;
@@ -123,7 +124,7 @@
   EXPECT_EQ(found.status, KeyStatus::found);
   ASSERT_TRUE(found.entry.has_value());
   EXPECT_EQ(found.entry->data, (Json{{"x", 1}}));
-  EXPECT_EQ(found.entry->stamp, Stamp{3});
+  EXPECT_EQ(found.entry->revision, KeyRevision{3});
   EXPECT_EQ(parse_key(response(404, R"({"epoch":9})")).status, KeyStatus::missing);
   EXPECT_EQ(parse_key(response(0)).status, KeyStatus::unknown);
   EXPECT_EQ(parse_key(response(429)).status, KeyStatus::unknown);
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -28,7 +28,7 @@
   void commit_next() {
     ASSERT_LT(answered, commits.size());
     const auto commit = commits[answered++];
-    commit.done({Outcome::done, wire::Epoch{++revision}});
+    commit.done({Outcome::committed, wire::StoreRevision{++revision}});
     loop.pass(kIntervalS);
   }
   std::vector<std::string> keys_of_next() const {
@@ -43,7 +43,7 @@
     loop.pass(0);
     ASSERT_EQ(keys_of_next(), std::vector<std::string>{key});
     const auto refused = commits[answered++];
-    refused.done({Outcome::malformed, {}});
+    refused.done({Outcome::invalid, {}});
     writes.store(key, std::nullopt, state::FlushDelay::awaited);
     loop.pass(0);
     commit_all();
@@ -55,36 +55,36 @@
   model::Machine& machine(const std::string& name, const std::string& zone = "a") {
     auto& made = *fleet.add({name}).first;
     made.address = "10.0.0.1:9000";
-    made.flavor = "g8";
-    made.rack_room = zone;
+    made.machine_type = "g8";
+    made.zone = zone;
     return made;
   }
   model::Job& job(const std::string& name, std::uint32_t tasks) {
     auto& made = jobs[wire::JobId{name}];
-    made.spec.uid = wire::JobId{name};
-    made.spec.members = tasks;
+    made.spec.id = wire::JobId{name};
+    made.spec.task_count = tasks;
     made.reset_marks();
     return made;
   }
   std::set<std::string> stored_machines(const std::string& group) const {
     std::set<std::string> machines;
-    const auto* entry = stored.find(wire::machines_key(group));
+    const auto* entry = stored.find(wire::machine_group_key(group));
     if (entry == nullptr) return machines;
-    for (const auto& [id, address] : wire::parse_machine_group(group, entry->data).hosts)
+    for (const auto& [id, address] : wire::parse_machine_group(group, entry->data).machines)
       machines.insert(id.value);
     return machines;
   }
-  wire::FinishedBucket stored_chunks(std::uint64_t number) const {
-    const auto* entry = stored.find(wire::finished_key(number));
-    return entry == nullptr ? wire::FinishedBucket{}
-                            : wire::parse_finished_bucket(std::to_string(number), entry->data);
+  wire::CompletionBucket stored_chunks(std::uint64_t number) const {
+    const auto* entry = stored.find(wire::completion_key(number));
+    return entry == nullptr ? wire::CompletionBucket{}
+                            : wire::parse_completion_bucket(std::to_string(number), entry->data);
   }
   state::WriteCallback count(int& calls) {
     return [&calls] { ++calls; };
   }
 
   test_support::ManualLoop loop;
-  state::View stored;
+  state::StoreCache stored;
   std::vector<Commit> commits;
   std::size_t answered = 0;
   std::uint64_t revision = 100;
@@ -95,7 +95,7 @@
   state::WriteCoalescer writes{loop,
                                {kIntervalS, 15, 16, kValueBytes},
                                {[this](Commit message) { commits.push_back(std::move(message)); },
-                                [](const state::Sync&) {}, [] { return 100.0; }},
+                                [](const state::ReadBarrier&) {}, [] { return 100.0; }},
                                *this};
   MachineGroups groups{writes, fleet, numbers, log};
   CompletionBitmaps bitmaps{writes, [this](const wire::JobId& id) { return find_live(id); }, numbers, log};
@@ -107,7 +107,7 @@
   }
 
   bool may_write() const override { return true; }
-  wire::Stamp expected_revision(const std::string& key) const override { return stored.stamp(key); }
+  wire::KeyRevision expected_revision(const std::string& key) const override { return stored.revision(key); }
   bool is_final(const std::string&) const override { return false; }
   bool holds(const std::string&, const std::optional<Json>&) const override { return false; }
   bool is_urgent(const std::string&) const override { return false; }
@@ -161,13 +161,13 @@
   commit_all();
   EXPECT_EQ(stored_machines("7-1"), std::set<std::string>{"m2"});
   EXPECT_FALSE(groups.is_dropped("bankhill"));
-  EXPECT_FALSE(groups.is_dropped(wire::machines_key("7-1")));
+  EXPECT_FALSE(groups.is_dropped(wire::machine_group_key("7-1")));
   groups.remove(*fleet.find({"m2"}));
   fleet.erase({"m2"});
-  EXPECT_TRUE(groups.is_dropped(wire::machines_key("7-1")));
-  EXPECT_FALSE(groups.is_dropped(wire::machines_key("6-1"))) << "an earlier leader's";
+  EXPECT_TRUE(groups.is_dropped(wire::machine_group_key("7-1")));
+  EXPECT_FALSE(groups.is_dropped(wire::machine_group_key("6-1"))) << "an earlier leader's";
   commit_all();
-  EXPECT_EQ(stored.find(wire::machines_key("7-1")), nullptr);
+  EXPECT_EQ(stored.find(wire::machine_group_key("7-1")), nullptr);
 }
 
 TEST_F(StorageTest, AnAdoptedRecordTakesMachinesOnceOneLeftUnlessItIsFixed) {
@@ -205,13 +205,13 @@
   groups.remove(*fleet.find({"m100"}));
   fleet.erase({"m100"});
   loop.pass(kIntervalS);
-  writes.store(wire::machines_key("7-1"), std::nullopt, state::FlushDelay::none, count(removed));
+  writes.store(wire::machine_group_key("7-1"), std::nullopt, state::FlushDelay::none, count(removed));
   // What moves is written under other keys, one a transaction since the refusal. The record itself is
   // withheld until the last of them is committed.
   std::set<std::string> moved;
   ASSERT_EQ(writes.batch_limit(), 1U);
-  ASSERT_NE(keys_of_next().front(), wire::machines_key("7-1"));
-  while (keys_of_next().front() != wire::machines_key("7-1")) {
+  ASSERT_NE(keys_of_next().front(), wire::machine_group_key("7-1"));
+  while (keys_of_next().front() != wire::machine_group_key("7-1")) {
     const auto group = MachineGroups::name_of(keys_of_next().front());
     commit_next();
     moved.merge(stored_machines(*group));
@@ -230,14 +230,14 @@
   EXPECT_EQ(together.size(), all.size());
   for (const auto& name : left) EXPECT_EQ(fleet.find({name})->group, "7-1");
   for (const auto& name : moved) EXPECT_NE(fleet.find({name})->group, "7-1");
-  EXPECT_LE(wire::stored_bytes(stored.find(wire::machines_key("7-1"))->data), writes.value_limit());
+  EXPECT_LE(wire::stored_bytes(stored.find(wire::machine_group_key("7-1"))->data), writes.value_limit());
 }
 
 TEST_F(StorageTest, ChunksOfManyJobsShareARecord) {
   auto& first = job("job-1", 10);
-  auto& second = job("job-2", wire::kFinishedChunk + 1);
+  auto& second = job("job-2", wire::kCompletionChunkTasks + 1);
   first.set_mark(0, model::kDone);
-  second.set_mark(wire::kFinishedChunk, model::kDone);
+  second.set_mark(wire::kCompletionChunkTasks, model::kDone);
   const auto number = bitmaps.record_of(first, 0);
   EXPECT_EQ(bitmaps.record_of(first, 0), number);
   EXPECT_EQ(bitmaps.record_of(second, 1), number);
@@ -249,10 +249,10 @@
   EXPECT_EQ(calls, 1);
   const auto chunks = stored_chunks(number);
   ASSERT_EQ(chunks.size(), 2U);
-  EXPECT_EQ(wire::parse_finished_hex(chunks.at({wire::JobId{"job-1"}, 0}), 0),
+  EXPECT_EQ(wire::parse_completion_hex(chunks.at({wire::JobId{"job-1"}, 0}), 0),
             (std::vector<std::uint32_t>{0, 3}));
-  EXPECT_EQ(wire::parse_finished_hex(chunks.at({wire::JobId{"job-2"}, 1}), 1),
-            std::vector<std::uint32_t>{wire::kFinishedChunk});
+  EXPECT_EQ(wire::parse_completion_hex(chunks.at({wire::JobId{"job-2"}, 1}), 1),
+            std::vector<std::uint32_t>{wire::kCompletionChunkTasks});
 }
 
 TEST_F(StorageTest, AFinalJobLeavesItsRecordsAndTheLastOneDeletesThem) {
@@ -263,15 +263,15 @@
   bitmaps.store(number, state::FlushDelay::exits);
   commit_all();
   ASSERT_EQ(stored_chunks(number).size(), 2U);
-  first.phase = wire::JobPhase::done;
+  first.state = wire::JobState::done;
   bitmaps.remove(first);
-  EXPECT_TRUE(first.buckets.empty());
+  EXPECT_TRUE(first.completion_buckets.empty());
   EXPECT_EQ(writes.size(), 0U) << "it is written with the next that ends there";
-  second.phase = wire::JobPhase::done;
+  second.state = wire::JobState::done;
   bitmaps.remove(second);
-  EXPECT_TRUE(bitmaps.is_dropped(wire::finished_key(number)));
+  EXPECT_TRUE(bitmaps.is_dropped(wire::completion_key(number)));
   commit_all();
-  EXPECT_EQ(stored.find(wire::finished_key(number)), nullptr);
+  EXPECT_EQ(stored.find(wire::completion_key(number)), nullptr);
 }
 
 TEST_F(StorageTest, AnAdoptedChunkStaysWhereItWas) {
@@ -280,16 +280,16 @@
   bitmaps.adopt(earlier, adopted, 0);
   EXPECT_TRUE(bitmaps.contains(earlier));
   EXPECT_EQ(bitmaps.record_of(adopted, 0), earlier);
-  EXPECT_FALSE(bitmaps.is_dropped(wire::finished_key(earlier)));
-  EXPECT_FALSE(bitmaps.is_dropped(wire::kFinished + "not-a-number"));
+  EXPECT_FALSE(bitmaps.is_dropped(wire::completion_key(earlier)));
+  EXPECT_FALSE(bitmaps.is_dropped(wire::kCompletionKeyPrefix + "not-a-number"));
 }
 
 TEST_F(StorageTest, KeysOfOtherRecordsAndOfTheFirstVersionAreNotTheirs) {
-  EXPECT_FALSE(MachineGroups::name_of(wire::kJobs + "job-1"));
-  EXPECT_EQ(MachineGroups::name_of(wire::machines_key("7-1")), "7-1");
-  EXPECT_FALSE(CompletionBitmaps::number_of(wire::kJobs + "job-1"));
-  EXPECT_FALSE(CompletionBitmaps::number_of(wire::kFinished + "job-1/0"));
-  EXPECT_EQ(CompletionBitmaps::number_of(wire::finished_key(12)), 12U);
+  EXPECT_FALSE(MachineGroups::name_of(wire::kJobKeyPrefix + "job-1"));
+  EXPECT_EQ(MachineGroups::name_of(wire::machine_group_key("7-1")), "7-1");
+  EXPECT_FALSE(CompletionBitmaps::number_of(wire::kJobKeyPrefix + "job-1"));
+  EXPECT_FALSE(CompletionBitmaps::number_of(wire::kCompletionKeyPrefix + "job-1/0"));
+  EXPECT_EQ(CompletionBitmaps::number_of(wire::completion_key(12)), 12U);
 }
 
 TEST_F(StorageTest, ChunksBeyondASmallerLimitAreWrittenElsewhereBeforeTheyLeave) {
@@ -309,14 +309,14 @@
   ASSERT_EQ(stored_chunks(number).size(), 9U);
   shrink_value_limit();
 
-  ended.phase = wire::JobPhase::done;  // takes no room elsewhere
+  ended.state = wire::JobState::done;  // takes no room elsewhere
   int calls = 0;
   bitmaps.store(number, state::FlushDelay::exits, count(calls));
   loop.pass(kIntervalS);
   // What moves is written under other keys, the record itself is withheld meanwhile.
   const auto targets = keys_of_next();
   ASSERT_FALSE(targets.empty());
-  for (const auto& key : targets) EXPECT_NE(key, wire::finished_key(number));
+  for (const auto& key : targets) EXPECT_NE(key, wire::completion_key(number));
   commit_next();
   EXPECT_EQ(calls, 0);
   EXPECT_EQ(stored_chunks(number).size(), 9U);
@@ -325,17 +325,17 @@
   EXPECT_EQ(calls, 1);
   std::size_t moved = 0;
   for (const auto* each : live) {
-    const wire::ChunkId id{each->spec.uid, 0};
-    const auto home = each->buckets.at(0);
+    const wire::ChunkId id{each->spec.id, 0};
+    const auto home = each->completion_buckets.at(0);
     const auto chunks = stored_chunks(home);
     ASSERT_TRUE(chunks.contains(id));
-    EXPECT_EQ(wire::parse_finished_hex(chunks.at(id), 0), std::vector<std::uint32_t>{kDoneTask});
+    EXPECT_EQ(wire::parse_completion_hex(chunks.at(id), 0), std::vector<std::uint32_t>{kDoneTask});
     EXPECT_EQ(stored_chunks(number).contains(id), home == number);
     if (home != number) ++moved;
   }
   EXPECT_GT(moved, 0U);
   EXPECT_LT(moved, live.size());
-  EXPECT_FALSE(stored_chunks(number).contains({ended.spec.uid, 0}));
+  EXPECT_FALSE(stored_chunks(number).contains({ended.spec.id, 0}));
 }
 
 TEST_F(StorageTest, AMoveThatIsUnderWayWhenTheTermEndsIsForgotten) {
@@ -348,7 +348,7 @@
   groups.clear();
   writes.clear();
   const auto late = commits[answered++];
-  late.done({Outcome::done, wire::Epoch{++revision}});
+  late.done({Outcome::committed, wire::StoreRevision{++revision}});
   loop.pass(kIntervalS);
   EXPECT_EQ(answered, commits.size());
   EXPECT_EQ(writes.size(), 0U);
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,19 +1,19 @@
 // The copy of the store.
 #include <gtest/gtest.h>
 
-#include "state/view.hpp"
+#include "state/store_cache.hpp"
 
 namespace bankhill::state {
 namespace {
 
 TEST(View, OlderChangesChangeNothing) {
-  View view;
-  EXPECT_TRUE(view.apply({"k", wire::Json(1), wire::Stamp{5}}));
-  EXPECT_FALSE(view.apply({"k", wire::Json(0), wire::Stamp{4}}));
-  EXPECT_FALSE(view.apply({"k", std::nullopt, wire::Stamp{5}}));
+  StoreCache view;
+  EXPECT_TRUE(view.apply({"k", wire::Json(1), wire::KeyRevision{5}}));
+  EXPECT_FALSE(view.apply({"k", wire::Json(0), wire::KeyRevision{4}}));
+  EXPECT_FALSE(view.apply({"k", std::nullopt, wire::KeyRevision{5}}));
   EXPECT_EQ(view.find("k")->data, wire::Json(1));
-  EXPECT_TRUE(view.apply({"k", std::nullopt, wire::Stamp{6}}));
-  EXPECT_EQ(view.stamp("k").value, 0U);
+  EXPECT_TRUE(view.apply({"k", std::nullopt, wire::KeyRevision{6}}));
+  EXPECT_EQ(view.revision("k").value, 0U);
 }
 
 }  // namespace
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -58,42 +58,42 @@
 
 TEST(WireFormatJob, EveryField) {
   const auto spec = parse_job(Json::parse(kFullJob));
-  EXPECT_EQ(spec.uid.value, "job-101");
-  EXPECT_EQ(spec.queue, "train");
-  EXPECT_EQ(spec.owner, "vision");
-  EXPECT_EQ(spec.shape, Shape::sweep);
-  EXPECT_EQ(spec.rank, Rank::high);
-  EXPECT_EQ(spec.members, 16U);
-  EXPECT_EQ(spec.need.cores, 8.5);
-  EXPECT_EQ(spec.need.accelerators, 2.0);
-  EXPECT_EQ(spec.need.ram_gb, 64.25);
-  EXPECT_EQ(spec.bundle, "img-07");
-  EXPECT_EQ(spec.size_gb, 6.5);
-  EXPECT_EQ(spec.flavors, (std::vector<std::string>{"g8", "c16"}));
-  EXPECT_EQ(spec.rack_room, "za");
-  EXPECT_TRUE(spec.together);
-  EXPECT_FALSE(spec.scatter);
-  EXPECT_TRUE(spec.reclaimable);
-  EXPECT_EQ(spec.guess_s, 240.5);
-  EXPECT_EQ(spec.snapshot_every_s, 30.5);
-  EXPECT_EQ(spec.flush_s, 4.5);
-  EXPECT_EQ(spec.due_s, 900.5);
-  EXPECT_EQ(spec.waits_on, (std::vector<JobId>{{"job-7"}, {"job-8"}}));
+  EXPECT_EQ(spec.id.value, "job-101");
+  EXPECT_EQ(spec.job_class, "train");
+  EXPECT_EQ(spec.team, "vision");
+  EXPECT_EQ(spec.kind, JobKind::array);
+  EXPECT_EQ(spec.priority, Priority::high);
+  EXPECT_EQ(spec.task_count, 16U);
+  EXPECT_EQ(spec.request.cores, 8.5);
+  EXPECT_EQ(spec.request.accelerators, 2.0);
+  EXPECT_EQ(spec.request.ram_gb, 64.25);
+  EXPECT_EQ(spec.image, "img-07");
+  EXPECT_EQ(spec.image_size_gb, 6.5);
+  EXPECT_EQ(spec.machine_types, (std::vector<std::string>{"g8", "c16"}));
+  EXPECT_EQ(spec.zone, "za");
+  EXPECT_TRUE(spec.zone_affinity);
+  EXPECT_FALSE(spec.zone_spread);
+  EXPECT_TRUE(spec.allows_preemptible);
+  EXPECT_EQ(spec.estimated_runtime_s, 240.5);
+  EXPECT_EQ(spec.checkpoint_interval_s, 30.5);
+  EXPECT_EQ(spec.checkpoint_duration_s, 4.5);
+  EXPECT_EQ(spec.deadline_s, 900.5);
+  EXPECT_EQ(spec.depends_on, (std::vector<JobId>{{"job-7"}, {"job-8"}}));
   EXPECT_EQ(text_of(to_json(spec)), normalized(kFullJob));
 }
 
 TEST(WireFormatJob, WithoutOptionalFields) {
   const auto spec = parse_job(Json::parse(kPlainJob));
-  EXPECT_EQ(spec.uid.value, "job-102");
-  EXPECT_EQ(spec.shape, Shape::daemon);
-  EXPECT_EQ(spec.rank, Rank::production);
-  EXPECT_FALSE(spec.together);
-  EXPECT_TRUE(spec.scatter);
-  EXPECT_FALSE(spec.reclaimable);
-  EXPECT_FALSE(spec.flavors);
-  EXPECT_FALSE(spec.rack_room);
-  EXPECT_FALSE(spec.due_s);
-  EXPECT_TRUE(spec.waits_on.empty());
+  EXPECT_EQ(spec.id.value, "job-102");
+  EXPECT_EQ(spec.kind, JobKind::service);
+  EXPECT_EQ(spec.priority, Priority::production);
+  EXPECT_FALSE(spec.zone_affinity);
+  EXPECT_TRUE(spec.zone_spread);
+  EXPECT_FALSE(spec.allows_preemptible);
+  EXPECT_FALSE(spec.machine_types);
+  EXPECT_FALSE(spec.zone);
+  EXPECT_FALSE(spec.deadline_s);
+  EXPECT_TRUE(spec.depends_on.empty());
   EXPECT_EQ(text_of(to_json(spec)), normalized(kPlainJob));
 }
 
@@ -104,31 +104,32 @@
     object["together"] = object["scatter"] = object["reclaimable"] = false;
     object[name] = true;
     const auto spec = parse_job(object);
-    EXPECT_EQ(spec.together, name == std::string("together"));
-    EXPECT_EQ(spec.scatter, name == std::string("scatter"));
-    EXPECT_EQ(spec.reclaimable, name == std::string("reclaimable"));
+    EXPECT_EQ(spec.zone_affinity, name == std::string("together"));
+    EXPECT_EQ(spec.zone_spread, name == std::string("scatter"));
+    EXPECT_EQ(spec.allows_preemptible, name == std::string("reclaimable"));
     EXPECT_EQ(text_of(to_json(spec)), text_of(object));
   }
 }
 
 TEST(WireFormatJob, EachRankAndShape) {
-  const std::vector<std::pair<const char*, Rank>> ranks{{"best_effort", Rank::best_effort},
-                                                        {"normal", Rank::normal},
-                                                        {"high", Rank::high},
-                                                        {"production", Rank::production}};
-  for (const auto& [name, rank] : ranks) {
+  const std::vector<std::pair<const char*, Priority>> ranks{{"best_effort", Priority::best_effort},
+                                                            {"normal", Priority::normal},
+                                                            {"high", Priority::high},
+                                                            {"production", Priority::production}};
+  for (const auto& [name, priority] : ranks) {
     const auto text = replaced(kFullJob, R"("rank":"high")", std::string(R"("rank":")") + name + "\"");
     const auto spec = parse_job(Json::parse(text));
-    EXPECT_EQ(spec.rank, rank);
-    EXPECT_STREQ(name_of(spec.rank), name);
+    EXPECT_EQ(spec.priority, priority);
+    EXPECT_STREQ(name_of(spec.priority), name);
     EXPECT_EQ(text_of(to_json(spec)), normalized(text.c_str()));
   }
-  const std::vector<std::pair<const char*, Shape>> shapes{{"sweep", Shape::sweep}, {"daemon", Shape::daemon}};
+  const std::vector<std::pair<const char*, JobKind>> shapes{{"sweep", JobKind::array},
+                                                            {"daemon", JobKind::service}};
   for (const auto& [name, shape] : shapes) {
     const auto text = replaced(kFullJob, R"("shape":"sweep")", std::string(R"("shape":")") + name + "\"");
     const auto spec = parse_job(Json::parse(text));
-    EXPECT_EQ(spec.shape, shape);
-    EXPECT_STREQ(name_of(spec.shape), name);
+    EXPECT_EQ(spec.kind, shape);
+    EXPECT_STREQ(name_of(spec.kind), name);
     EXPECT_EQ(text_of(to_json(spec)), normalized(text.c_str()));
   }
 }
@@ -139,25 +140,25 @@
   {"name":"c16","cores":16.0,"accelerators":0.0,"ram_gb":32.0,"local_gb":100.0,"pull_gb_per_s":1.0,"rate":2.0,
    "low_price":0.75,"boot_s":20.0,"rack_rooms":[]}]})";
 
-void expect_first_machine_type(const Flavor& type) {
+void expect_first_machine_type(const MachineType& type) {
   EXPECT_EQ(type.name, "g8");
-  EXPECT_EQ(type.size.cores, 8.5);
-  EXPECT_EQ(type.size.accelerators, 1.5);
-  EXPECT_EQ(type.size.ram_gb, 64.5);
+  EXPECT_EQ(type.capacity.cores, 8.5);
+  EXPECT_EQ(type.capacity.accelerators, 1.5);
+  EXPECT_EQ(type.capacity.ram_gb, 64.5);
   EXPECT_EQ(type.local_gb, 200.5);
-  EXPECT_EQ(type.pull_gb_per_s, 0.25);
-  EXPECT_EQ(type.rate, 3.5);
-  EXPECT_EQ(type.low_price, 1.25);
+  EXPECT_EQ(type.image_pull_gb_per_s, 0.25);
+  EXPECT_EQ(type.hourly_price, 3.5);
+  EXPECT_EQ(type.preemptible_hourly_price, 1.25);
   EXPECT_EQ(type.boot_s, 35.5);
-  EXPECT_EQ(type.rack_rooms, (std::vector<std::string>{"za", "zb"}));
+  EXPECT_EQ(type.zones, (std::vector<std::string>{"za", "zb"}));
 }
 
 TEST(WireFormatMachineTypes, EveryField) {
-  const auto types = parse_flavors(Json::parse(kMachineTypes));
+  const auto types = parse_machine_types(Json::parse(kMachineTypes));
   ASSERT_EQ(types.size(), 2U);
   expect_first_machine_type(types[0]);
   EXPECT_EQ(types[1].name, "c16");
-  EXPECT_TRUE(types[1].rack_rooms.empty());
+  EXPECT_TRUE(types[1].zones.empty());
   EXPECT_EQ(text_of(to_json(types)), normalized(kMachineTypes));
 }
 
@@ -176,82 +177,82 @@
     {"member":"job-2/9","try_no":29,"phase":"exited","exit_cause":"no_such"}]})";
 
 TEST(WireFormatReport, EveryFieldPhaseAndCause) {
-  const auto report = parse_report(Json::parse(kReport));
-  EXPECT_EQ(report.host.value, "n-000231");
-  EXPECT_EQ(report.address, "10.1.0.232:9000");
-  EXPECT_EQ(report.flavor, "g8");
-  EXPECT_EQ(report.rack_room, "za");
-  EXPECT_TRUE(report.reclaimable);
-  EXPECT_EQ(report.tenure.value, 11U);
-  EXPECT_EQ(report.counter, 88U);
-  EXPECT_EQ(report.fence.value, 41U);
-  EXPECT_EQ(report.warning_s, 12.5);
-  const std::vector<MemberReport> members{
-      {{{"job-1"}, 0}, {20}, MemberPhase::pulling, ExitCause::none, false},
-      {{{"job-1"}, 1}, {21}, MemberPhase::running, ExitCause::none, true},
-      {{{"job-1"}, 2}, {22}, MemberPhase::flushing, ExitCause::none, false},
-      {{{"job-1"}, 3}, {23}, MemberPhase::exited, ExitCause::none, false},
-      {{{"job-1"}, 4}, {24}, MemberPhase::exited, ExitCause::done, false},
-      {{{"job-1"}, 5}, {25}, MemberPhase::exited, ExitCause::halted, true},
-      {{{"job-1"}, 6}, {26}, MemberPhase::exited, ExitCause::error, false},
-      {{{"job-1"}, 7}, {27}, MemberPhase::exited, ExitCause::no_room, false},
-      {{{"job-1"}, 8}, {28}, MemberPhase::exited, ExitCause::busy, false},
-      {{{"job-2"}, 9}, {29}, MemberPhase::exited, ExitCause::no_such, false}};
-  EXPECT_EQ(report.members, members);
-  EXPECT_EQ(text_of(to_json(report)), normalized(kReport));
+  const auto heartbeat = parse_heartbeat(Json::parse(kReport));
+  EXPECT_EQ(heartbeat.machine_id.value, "n-000231");
+  EXPECT_EQ(heartbeat.address, "10.1.0.232:9000");
+  EXPECT_EQ(heartbeat.machine_type, "g8");
+  EXPECT_EQ(heartbeat.zone, "za");
+  EXPECT_TRUE(heartbeat.preemptible);
+  EXPECT_EQ(heartbeat.agent_epoch.value, 11U);
+  EXPECT_EQ(heartbeat.sequence, 88U);
+  EXPECT_EQ(heartbeat.fencing_token.value, 41U);
+  EXPECT_EQ(heartbeat.preemption_notice_s, 12.5);
+  const std::vector<TaskStatus> members{
+      {{{"job-1"}, 0}, {20}, TaskState::pulling_image, ExitReason::none, false},
+      {{{"job-1"}, 1}, {21}, TaskState::running, ExitReason::none, true},
+      {{{"job-1"}, 2}, {22}, TaskState::checkpointing, ExitReason::none, false},
+      {{{"job-1"}, 3}, {23}, TaskState::exited, ExitReason::none, false},
+      {{{"job-1"}, 4}, {24}, TaskState::exited, ExitReason::done, false},
+      {{{"job-1"}, 5}, {25}, TaskState::exited, ExitReason::stopped, true},
+      {{{"job-1"}, 6}, {26}, TaskState::exited, ExitReason::error, false},
+      {{{"job-1"}, 7}, {27}, TaskState::exited, ExitReason::insufficient_resources, false},
+      {{{"job-1"}, 8}, {28}, TaskState::exited, ExitReason::duplicate_task, false},
+      {{{"job-2"}, 9}, {29}, TaskState::exited, ExitReason::unknown_task, false}};
+  EXPECT_EQ(heartbeat.tasks, members);
+  EXPECT_EQ(text_of(to_json(heartbeat)), normalized(kReport));
 }
 
 TEST(WireFormatReport, NamesOfCauses) {
-  EXPECT_STREQ(name_of(ExitCause::none), "none");
-  EXPECT_STREQ(name_of(ExitCause::done), "done");
-  EXPECT_STREQ(name_of(ExitCause::halted), "halted");
-  EXPECT_STREQ(name_of(ExitCause::error), "error");
-  EXPECT_STREQ(name_of(ExitCause::no_room), "no_room");
-  EXPECT_STREQ(name_of(ExitCause::busy), "busy");
-  EXPECT_STREQ(name_of(ExitCause::no_such), "no_such");
+  EXPECT_STREQ(name_of(ExitReason::none), "none");
+  EXPECT_STREQ(name_of(ExitReason::done), "done");
+  EXPECT_STREQ(name_of(ExitReason::stopped), "halted");
+  EXPECT_STREQ(name_of(ExitReason::error), "error");
+  EXPECT_STREQ(name_of(ExitReason::insufficient_resources), "no_room");
+  EXPECT_STREQ(name_of(ExitReason::duplicate_task), "busy");
+  EXPECT_STREQ(name_of(ExitReason::unknown_task), "no_such");
 }
 
 TEST(WireFormatReport, WithoutWarning) {
   constexpr const char* kText = R"({"host":"n-2","address":"10.1.0.2:9001","flavor":"c16","rack_room":"zb",
     "reclaimable":false,"tenure":12,"counter":89,"fence":42,"warning_s":null,"members":[]})";
-  const auto report = parse_report(Json::parse(kText));
-  EXPECT_FALSE(report.warning_s);
-  EXPECT_FALSE(report.reclaimable);
-  EXPECT_TRUE(report.members.empty());
-  EXPECT_EQ(text_of(to_json(report)), normalized(kText));
+  const auto heartbeat = parse_heartbeat(Json::parse(kText));
+  EXPECT_FALSE(heartbeat.preemption_notice_s);
+  EXPECT_FALSE(heartbeat.preemptible);
+  EXPECT_TRUE(heartbeat.tasks.empty());
+  EXPECT_EQ(text_of(to_json(heartbeat)), normalized(kText));
 }
 
 TEST(WireFormatOrders, EveryVerb) {
   constexpr const char* kText = R"([{"verb":"start","member":"job-1/4","try_no":2},
     {"verb":"stop","member":"job-2/5","try_no":3,"wind_down_s":10.5},
     {"verb":"forget","member":"job-3/6","try_no":4}])";
-  const auto orders = parse_orders(Json::parse(kText));
-  EXPECT_EQ(orders, (std::vector<Order>{{Verb::start, {{"job-1"}, 4}, {2}, 0},
-                                        {Verb::stop, {{"job-2"}, 5}, {3}, 10.5},
-                                        {Verb::forget, {{"job-3"}, 6}, {4}, 0}}));
-  EXPECT_EQ(text_of(to_json(orders)), normalized(kText));
+  const auto commands = parse_commands(Json::parse(kText));
+  EXPECT_EQ(commands, (std::vector<Command>{{CommandType::start, {{"job-1"}, 4}, {2}, 0},
+                                            {CommandType::stop, {{"job-2"}, 5}, {3}, 10.5},
+                                            {CommandType::forget, {{"job-3"}, 6}, {4}, 0}}));
+  EXPECT_EQ(text_of(to_json(commands)), normalized(kText));
 }
 
 TEST(WireFormatHosts, EveryField) {
-  const auto page = parse_host_page(Json::parse(R"({"hosts":[
+  const auto page = parse_machine_page(Json::parse(R"({"hosts":[
     {"uid":"n-1","address":"10.1.0.1:9000","flavor":"g8","rack_room":"za","reclaimable":true,"phase":"up",
      "held_s":61.5},
     {"uid":"n-2","address":null,"flavor":"c16","rack_room":"zb","reclaimable":false,"phase":"booting",
      "held_s":0.5}],"has_next":true})"));
-  ASSERT_EQ(page.hosts.size(), 2U);
-  EXPECT_EQ(page.hosts[0].uid.value, "n-1");
-  EXPECT_EQ(page.hosts[0].address, "10.1.0.1:9000");
-  EXPECT_EQ(page.hosts[0].flavor, "g8");
-  EXPECT_EQ(page.hosts[0].rack_room, "za");
-  EXPECT_TRUE(page.hosts[0].reclaimable);
-  EXPECT_EQ(page.hosts[0].phase, "up");
-  EXPECT_EQ(page.hosts[0].held_s, 61.5);
-  EXPECT_EQ(page.hosts[1].uid.value, "n-2");
-  EXPECT_EQ(page.hosts[1].address, "");
-  EXPECT_FALSE(page.hosts[1].reclaimable);
-  EXPECT_EQ(page.hosts[1].phase, "booting");
+  ASSERT_EQ(page.machines.size(), 2U);
+  EXPECT_EQ(page.machines[0].id.value, "n-1");
+  EXPECT_EQ(page.machines[0].address, "10.1.0.1:9000");
+  EXPECT_EQ(page.machines[0].machine_type, "g8");
+  EXPECT_EQ(page.machines[0].zone, "za");
+  EXPECT_TRUE(page.machines[0].preemptible);
+  EXPECT_EQ(page.machines[0].state, "up");
+  EXPECT_EQ(page.machines[0].age_s, 61.5);
+  EXPECT_EQ(page.machines[1].id.value, "n-2");
+  EXPECT_EQ(page.machines[1].address, "");
+  EXPECT_FALSE(page.machines[1].preemptible);
+  EXPECT_EQ(page.machines[1].state, "booting");
   EXPECT_TRUE(page.has_next);
-  EXPECT_FALSE(parse_host_page(Json::parse(R"({"hosts":[]})")).has_next);
+  EXPECT_FALSE(parse_machine_page(Json::parse(R"({"hosts":[]})")).has_next);
 }
 
 // The text of a job's record: `spec`, then `rest` from "phase" on.
@@ -264,29 +265,29 @@
       replaced(kFullJob, R"(,"waits_on":["job-7","job-8"])", ""),
       R"("phase":"cancelled","at":1800000000.25,"ended":1800000900.5,"cutoff":1800007200.75,"waits_parts":3)");
   const auto record = parse_job_record(Json::parse(text));
-  EXPECT_EQ(record.spec.uid.value, "job-101");
-  EXPECT_EQ(record.phase, JobPhase::cancelled);
+  EXPECT_EQ(record.spec.id.value, "job-101");
+  EXPECT_EQ(record.state, JobState::cancelled);
   EXPECT_EQ(record.accepted_at, 1800000000.25);
   EXPECT_EQ(record.ended_at, 1800000900.5);
   EXPECT_EQ(record.cutoff, 1800007200.75);
-  EXPECT_EQ(record.waits_parts, 3U);
+  EXPECT_EQ(record.dependency_parts, 3U);
   EXPECT_EQ(text_of(to_json(record)), normalized(text.c_str()));
-  const auto remains = job_remains(Json::parse(R"({"phase":"done","spec":{"members":17}})"));
-  EXPECT_EQ(remains.phase, JobPhase::done);
-  EXPECT_EQ(remains.members, 17U);
+  const auto remains = parse_partial_job_record(Json::parse(R"({"phase":"done","spec":{"members":17}})"));
+  EXPECT_EQ(remains.state, JobState::done);
+  EXPECT_EQ(remains.task_count, 17U);
 }
 
 TEST(WireFormatJobRecord, EveryPhaseWithoutOptionalFields) {
-  const std::vector<std::pair<const char*, JobPhase>> phases{
-      {"accepted", JobPhase::accepted}, {"done", JobPhase::done}, {"cancelled", JobPhase::cancelled}};
+  const std::vector<std::pair<const char*, JobState>> phases{
+      {"accepted", JobState::accepted}, {"done", JobState::done}, {"cancelled", JobState::cancelled}};
   for (const auto& [name, phase] : phases) {
     const auto text = record_text(kFullJob, std::string(R"("phase":")") + name + R"(","at":1800000000.25)");
     const auto record = parse_job_record(Json::parse(text));
-    EXPECT_EQ(record.phase, phase);
-    EXPECT_STREQ(name_of(record.phase), name);
+    EXPECT_EQ(record.state, phase);
+    EXPECT_STREQ(name_of(record.state), name);
     EXPECT_EQ(record.ended_at, 0);
     EXPECT_FALSE(record.cutoff);
-    EXPECT_EQ(record.waits_parts, 0U);
+    EXPECT_EQ(record.dependency_parts, 0U);
     EXPECT_EQ(text_of(to_json(record)), normalized(text.c_str()));
   }
 }
@@ -294,7 +295,7 @@
 TEST(WireFormatJobRecord, Final) {
   const auto record = parse_job_record(
       Json::parse(record_text(kFullJob, R"("phase":"accepted","at":1800000000.25,"cutoff":1800007200.75)")));
-  EXPECT_EQ(text_of(final_json(record, JobPhase::done, 1800000900.5, 4096)),
+  EXPECT_EQ(text_of(final_record_json(record, JobState::done, 1800000900.5, 4096)),
             normalized(record_text(kFullJob, R"("phase":"done","at":1800000000.25,"ended":1800000900.5,
                                                 "cutoff":1800007200.75)")
                            .c_str()));
@@ -304,18 +305,19 @@
     "together":true,"scatter":false,"reclaimable":true,"guess_s":240.5,"snapshot_every_s":30.5,"flush_s":4.5,
     "due_s":900.5},"phase":"cancelled","at":1800000000.25,"ended":1800000900.5,"cutoff":1800007200.75})";
   const auto fits_short = stored_bytes(Json::parse(kShort));
-  EXPECT_EQ(text_of(final_json(record, JobPhase::cancelled, 1800000900.5, fits_short)), normalized(kShort));
+  EXPECT_EQ(text_of(final_record_json(record, JobState::cancelled, 1800000900.5, fits_short)),
+            normalized(kShort));
   const auto shortest =
       replaced(replaced(kShort, R"("queue":"train")", R"("queue":"-")"), R"("img-07")", R"("-")");
-  EXPECT_EQ(text_of(final_json(record, JobPhase::cancelled, 1800000900.5, fits_short - 1)),
+  EXPECT_EQ(text_of(final_record_json(record, JobState::cancelled, 1800000900.5, fits_short - 1)),
             normalized(shortest.c_str()));
 }
 
 TEST(WireFormatJobRecord, PartsOfWhatItWaitsFor) {
-  const auto jobs = parse_waits_part(Json::parse(R"("7 8 000900001")"));
+  const auto jobs = parse_dependencies_part(Json::parse(R"("7 8 000900001")"));
   EXPECT_EQ(jobs, (std::vector<JobId>{{"job-7"}, {"job-8"}, {"job-000900001"}}));
-  JobRecord record{parse_job(Json::parse(kPlainJob)), JobPhase::accepted, 1800000000.25};
-  for (int i = 0; i < 60; ++i) record.spec.waits_on.push_back({"job-" + std::to_string(900000 + i)});
+  JobRecord record{parse_job(Json::parse(kPlainJob)), JobState::accepted, 1800000000.25};
+  for (int i = 0; i < 60; ++i) record.spec.depends_on.push_back({"job-" + std::to_string(900000 + i)});
   const auto values = stored_job(record, 500, 4);
   ASSERT_EQ(values.size(), 2U);
   EXPECT_EQ(values[0].first, "bankhill/job/job-102");
@@ -329,7 +331,7 @@
 }
 
 TEST(WireFormatCatalogue, OneKeyOrParts) {
-  const auto types = parse_flavors(Json::parse(kMachineTypes));
+  const auto types = parse_machine_types(Json::parse(kMachineTypes));
   const auto whole = stored_catalogue(types, 4096, 5);
   ASSERT_EQ(whole.size(), 1U);
   EXPECT_EQ(whole[0].first, "bankhill/catalogue");
@@ -360,20 +362,20 @@
   const auto record = parse_leader_record(Json::parse(kText));
   EXPECT_EQ(record.node, "node-1");
   EXPECT_EQ(record.incarnation, 77U);
-  EXPECT_EQ(record.hold, 91U);
+  EXPECT_EQ(record.lease_id, 91U);
   EXPECT_EQ(text_of(to_json(record)), normalized(kText));
 }
 
 TEST(WireFormatRecords, Bounds) {
   constexpr const char* kText = R"({"term":41,"teams":{"vision":{"cores":120.5,"accelerators":16.25},
     "speech":{"accelerators":8.5},"search":{"cores":64.5},"any":{}}})";
-  const auto record = parse_bounds_record(Json::parse(kText));
+  const auto record = parse_quota_record(Json::parse(kText));
   const double none = std::numeric_limits<double>::infinity();
   EXPECT_EQ(record.term, 41U);
-  EXPECT_EQ(record.teams, (std::map<std::string, Amounts>{{"vision", {120.5, 16.25, 0}},
-                                                          {"speech", {none, 8.5, 0}},
-                                                          {"search", {64.5, none, 0}},
-                                                          {"any", {none, none, 0}}}));
+  EXPECT_EQ(record.teams, (std::map<std::string, Resources>{{"vision", {120.5, 16.25, 0}},
+                                                            {"speech", {none, 8.5, 0}},
+                                                            {"search", {64.5, none, 0}},
+                                                            {"any", {none, none, 0}}}));
   EXPECT_EQ(text_of(to_json(record)), normalized(kText));
 }
 
@@ -381,11 +383,11 @@
   constexpr const char* kText = R"({"flavor":"g8","rack_room":"za","reclaimable":true,
     "hosts":{"n-1":"10.1.0.1:9000","n-2":"10.1.0.2:9001"}})";
   const auto record = parse_machine_group("5-1", Json::parse(kText));
-  EXPECT_EQ(record.flavor, "g8");
-  EXPECT_EQ(record.rack_room, "za");
-  EXPECT_TRUE(record.reclaimable);
-  EXPECT_EQ(record.hosts,
-            (std::map<HostId, std::string>{{{"n-1"}, "10.1.0.1:9000"}, {{"n-2"}, "10.1.0.2:9001"}}));
+  EXPECT_EQ(record.machine_type, "g8");
+  EXPECT_EQ(record.zone, "za");
+  EXPECT_TRUE(record.preemptible);
+  EXPECT_EQ(record.machines,
+            (std::map<MachineId, std::string>{{{"n-1"}, "10.1.0.1:9000"}, {{"n-2"}, "10.1.0.2:9001"}}));
   EXPECT_EQ(text_of(to_json(record)), normalized(kText));
   // As version 0.1 wrote it.
   const auto single = parse_machine_group(
@@ -398,55 +400,55 @@
   constexpr const char* kAsked =
       R"({"flavor":"g8","rack_room":"za","reclaimable":true,"count":3,"at":1800000000.25})";
   auto record = parse_rental_record(Json::parse(kAsked));
-  EXPECT_EQ(record.flavor, "g8");
-  EXPECT_EQ(record.rack_room, "za");
-  EXPECT_TRUE(record.reclaimable);
+  EXPECT_EQ(record.machine_type, "g8");
+  EXPECT_EQ(record.zone, "za");
+  EXPECT_TRUE(record.preemptible);
   EXPECT_EQ(record.count, 3U);
-  EXPECT_EQ(record.asked_at, 1800000000.25);
-  EXPECT_FALSE(record.hosts);
+  EXPECT_EQ(record.requested_at, 1800000000.25);
+  EXPECT_FALSE(record.machine_ids);
   EXPECT_EQ(text_of(to_json(record)), normalized(kAsked));
   constexpr const char* kAnswered = R"({"flavor":"g8","rack_room":"za","reclaimable":true,"count":3,
     "at":1800000000.25,"hosts":["n-1","n-2"]})";
   record = parse_rental_record(Json::parse(kAnswered));
-  EXPECT_EQ(record.hosts, (std::vector<std::string>{"n-1", "n-2"}));
+  EXPECT_EQ(record.machine_ids, (std::vector<std::string>{"n-1", "n-2"}));
   EXPECT_EQ(text_of(to_json(record)), normalized(kAnswered));
 }
 
 TEST(WireFormatRecords, FinishedTasks) {
   constexpr const char* kText = R"({"job-1/0":"0f","job-2/3":"a1"})";
-  const auto bucket = parse_finished_bucket("17", Json::parse(kText));
-  EXPECT_EQ(bucket, (FinishedBucket{{{{"job-1"}, 0}, "0f"}, {{{"job-2"}, 3}, "a1"}}));
+  const auto bucket = parse_completion_bucket("17", Json::parse(kText));
+  EXPECT_EQ(bucket, (CompletionBucket{{{{"job-1"}, 0}, "0f"}, {{{"job-2"}, 3}, "a1"}}));
   EXPECT_EQ(text_of(to_json(bucket)), normalized(kText));
   // As version 0.1 wrote it.
-  EXPECT_EQ(parse_finished_bucket("job-9/2", Json::parse(R"("ff")")),
-            (FinishedBucket{{{{"job-9"}, 2}, "ff"}}));
+  EXPECT_EQ(parse_completion_bucket("job-9/2", Json::parse(R"("ff")")),
+            (CompletionBucket{{{{"job-9"}, 2}, "ff"}}));
   // Bit by bit, the first task lowest.
-  EXPECT_EQ(kFinishedChunk, 2048U);
-  EXPECT_EQ(finished_hex({1, 0, 0, 0, 0, 1, 1, 0, 0, 1}, 0, 1), "162");
-  EXPECT_EQ(parse_finished_hex("162", 0), (std::vector<std::uint32_t>{0, 5, 6, 9}));
-  EXPECT_EQ(parse_finished_hex("8", 1), (std::vector<std::uint32_t>{2051}));
+  EXPECT_EQ(kCompletionChunkTasks, 2048U);
+  EXPECT_EQ(completion_hex({1, 0, 0, 0, 0, 1, 1, 0, 0, 1}, 0, 1), "162");
+  EXPECT_EQ(parse_completion_hex("162", 0), (std::vector<std::uint32_t>{0, 5, 6, 9}));
+  EXPECT_EQ(parse_completion_hex("8", 1), (std::vector<std::uint32_t>{2051}));
 }
 
 TEST(WireFormatRecords, Keys) {
-  EXPECT_EQ(kRoot, "bankhill/");
+  EXPECT_EQ(kKeyPrefix, "bankhill/");
   EXPECT_EQ(kTermKey, "bankhill/term");
   EXPECT_EQ(kLeaderKey, "bankhill/leader");
   EXPECT_EQ(kCatalogueKey, "bankhill/catalogue");
-  EXPECT_EQ(kJobs, "bankhill/job/");
-  EXPECT_EQ(kMachines, "bankhill/machine/");
-  EXPECT_EQ(kRentals, "bankhill/rental/");
-  EXPECT_EQ(kFinished, "bankhill/finished/");
-  EXPECT_EQ(kWaits, "bankhill/waits/");
-  EXPECT_EQ(kCatalogueParts, "bankhill/catalogue/");
-  EXPECT_EQ(kBoundsKey, "bankhill/bounds");
+  EXPECT_EQ(kJobKeyPrefix, "bankhill/job/");
+  EXPECT_EQ(kMachineKeyPrefix, "bankhill/machine/");
+  EXPECT_EQ(kRentalKeyPrefix, "bankhill/rental/");
+  EXPECT_EQ(kCompletionKeyPrefix, "bankhill/finished/");
+  EXPECT_EQ(kDependencyKeyPrefix, "bankhill/waits/");
+  EXPECT_EQ(kCataloguePartKeyPrefix, "bankhill/catalogue/");
+  EXPECT_EQ(kQuotaKey, "bankhill/bounds");
   EXPECT_EQ(kPolicyKey, "bankhill/policy");
-  EXPECT_EQ(kPolicies, "bankhill/policy/");
+  EXPECT_EQ(kPolicyKeyPrefix, "bankhill/policy/");
   EXPECT_EQ(job_key({"job-1"}), "bankhill/job/job-1");
   EXPECT_EQ(policy_key("vision"), "bankhill/policy/vision");
   EXPECT_EQ(rental_key("41-2"), "bankhill/rental/41-2");
-  EXPECT_EQ(machines_key("41-3"), "bankhill/machine/41-3");
-  EXPECT_EQ(finished_key(17), "bankhill/finished/17");
-  EXPECT_EQ(waits_key({"job-1"}, 4), "bankhill/waits/job-1/4");
+  EXPECT_EQ(machine_group_key("41-3"), "bankhill/machine/41-3");
+  EXPECT_EQ(completion_key(17), "bankhill/finished/17");
+  EXPECT_EQ(dependencies_key({"job-1"}, 4), "bankhill/waits/job-1/4");
 }
 
 // Read from the literal bytes, the frame is this value; written, it is these bytes.
@@ -468,20 +470,20 @@
 }
 
 TEST(WireFormatFrames, Beat) {
-  EXPECT_EQ(kFeatureDelegation, 1);
-  Beat beat;
+  EXPECT_EQ(kFeatureHeartbeatForwarding, 1);
+  PeerStatus beat;
   beat.term = 0x1112131415161718ULL;
   beat.leading = true;
   expect_frame("424801010000000a11121314151617180001", beat);
   beat.state_ok = true;
   beat.leading = false;
   expect_frame("424801010000000a11121314151617180100", beat);
-  beat.features = kFeatureDelegation;
+  beat.features = kFeatureHeartbeatForwarding;
   expect_frame("424801010000000a11121314151617180300", beat);
 }
 
 TEST(WireFormatFrames, Call) {
-  Call call;
+  RelayedRequest call;
   call.id = 0x2122232425262728ULL;
   call.post = true;
   call.path = "/submissions";
@@ -494,7 +496,7 @@
 }
 
 TEST(WireFormatFrames, Answer) {
-  Answer answer;
+  RelayedResponse answer;
   answer.id = 0x3132333435363738ULL;
   answer.status = 201;
   answer.retry_after_ms = 1500;
@@ -503,7 +505,7 @@
 }
 
 TEST(WireFormatFrames, Progress) {
-  Progress progress;
+  JobProgress progress;
   progress.done = 0x41424344;
   progress.running = 0x45464748;
   progress.job = "job-000412";
@@ -512,7 +514,7 @@
 }
 
 TEST(WireFormatFrames, Load) {
-  Load load;
+  ControllerLoad load;
   load.workers = 0x51525354;
   load.capacity = 0x55565758;
   load.zone = "za";
@@ -520,25 +522,25 @@
 }
 
 TEST(WireFormatFrames, ReportsInFullAndBrief) {
-  DelegatedReport full;
+  ForwardedHeartbeat full;
   full.id = 0x61;
-  full.report = parse_report(Json::parse(kReport));
-  DelegatedReport unwarned;
+  full.heartbeat = parse_heartbeat(Json::parse(kReport));
+  ForwardedHeartbeat unwarned;
   unwarned.id = 0x62;
-  unwarned.report.host.value = "n-2";
-  unwarned.report.address = "10.1.0.2:9001";
-  unwarned.report.flavor = "c16";
-  unwarned.report.rack_room = "zb";
-  unwarned.report.tenure.value = 0x63;
-  unwarned.report.counter = 0x64;
-  unwarned.report.fence.value = 0x65;
-  DelegatedReport brief;
+  unwarned.heartbeat.machine_id.value = "n-2";
+  unwarned.heartbeat.address = "10.1.0.2:9001";
+  unwarned.heartbeat.machine_type = "c16";
+  unwarned.heartbeat.zone = "zb";
+  unwarned.heartbeat.agent_epoch.value = 0x63;
+  unwarned.heartbeat.sequence = 0x64;
+  unwarned.heartbeat.fencing_token.value = 0x65;
+  ForwardedHeartbeat brief;
   brief.id = 0x66;
-  brief.base = 0x67;
-  brief.report.host.value = "n-3";
-  brief.report.tenure.value = 0x68;
-  brief.report.counter = 0x69;
-  brief.report.fence.value = 0x6a;
+  brief.base_sequence = 0x67;
+  brief.heartbeat.machine_id.value = "n-3";
+  brief.heartbeat.agent_epoch.value = 0x68;
+  brief.heartbeat.sequence = 0x69;
+  brief.heartbeat.fencing_token.value = 0x6a;
   expect_frame(
       "42480106000001ad000300000000000000610000000000000000000000000000000b00000000000000580000"
       "00000000002900086e2d30303032333101000030d4000f000200020000000a31302e312e302e3233323a3930"
@@ -550,52 +552,52 @@
       "056a6f622d320000000000000062000000000000000000000000000000630000000000000064000000000000"
       "006500036e2d3200ffffffff000d000300020000000031302e312e302e323a393030316331367a6200000000"
       "00000066000000000000006700000000000000680000000000000069000000000000006a00036e2d33",
-      Reports{{full, unwarned, brief}});
-  EXPECT_EQ(hex_of(fingerprint(unwarned.report)),
+      ForwardedHeartbeats{{full, unwarned, brief}});
+  EXPECT_EQ(hex_of(fingerprint(unwarned.heartbeat)),
             "0000000000000000000000000000000000000000000000630000000000000000000000000000006500036e2d"
             "3200ffffffff000d000300020000000031302e312e302e323a393030316331367a62");
 }
 
 TEST(WireFormatFrames, RulingsWithEveryVerdictAndVerb) {
-  Ruling granted;
+  HeartbeatResponse granted;
   granted.id = 0x71;
-  granted.verdict = Verdict::granted;
-  granted.fence.value = 0x72;
-  granted.orders = {{Verb::start, {{"job-1"}, 4}, {2}, 0},
-                    {Verb::stop, {{"job-2"}, 5}, {3}, 10.5},
-                    {Verb::forget, {{"job-3"}, 6}, {7}, 0}};
-  Ruling refused;
+  granted.result = HeartbeatResult::accepted;
+  granted.fencing_token.value = 0x72;
+  granted.commands = {{CommandType::start, {{"job-1"}, 4}, {2}, 0},
+                      {CommandType::stop, {{"job-2"}, 5}, {3}, 10.5},
+                      {CommandType::forget, {{"job-3"}, 6}, {7}, 0}};
+  HeartbeatResponse refused;
   refused.id = 0x73;
-  refused.verdict = Verdict::refused;
-  refused.fence.value = 0x74;
-  Ruling in_full;
+  refused.result = HeartbeatResult::rejected;
+  refused.fencing_token.value = 0x74;
+  HeartbeatResponse in_full;
   in_full.id = 0x75;
-  in_full.verdict = Verdict::in_full;
-  in_full.fence.value = 0x76;
+  in_full.result = HeartbeatResult::resend_in_full;
+  in_full.fencing_token.value = 0x76;
   expect_frame(
       "4248010700000083000300000000000000710000000000000000720003000000000400000000000000020000"
       "000000056a6f622d31010000000500000000000000030000290400056a6f622d320200000006000000000000"
       "00070000000000056a6f622d3300000000000000730100000000000000740000000000000000007502000000"
       "00000000760000",
-      Rulings{{granted, refused, in_full}});
+      HeartbeatResponses{{granted, refused, in_full}});
 }
 
 // What users are told of a job that can never run.
 TEST(WireFormatAnswers, Refusals) {
-  const auto types = parse_flavors(Json::parse(kMachineTypes));
+  const auto types = parse_machine_types(Json::parse(kMachineTypes));
   const std::vector<gateway::TeamLimit> teams{{"vision", {100, 100, 0}}};
   auto spec = parse_job(Json::parse(kFullJob));
-  spec.need.accelerators = 1.5;
+  spec.request.accelerators = 1.5;
   const auto told = [&] {
     const auto reason = gateway::refusal(spec, teams, types);
     return reason ? gateway::explain({*reason, {}}) : std::string();
   };
   EXPECT_FALSE(gateway::refusal(spec, teams, types));
-  spec.need.ram_gb = 65;
+  spec.request.ram_gb = 65;
   EXPECT_EQ(told(), "a task fits no allowed machine type");
-  spec.need.cores = 101;
+  spec.request.cores = 101;
   EXPECT_EQ(told(), "needs more than the team's limit");
-  spec.owner = "speech";
+  spec.team = "speech";
   EXPECT_EQ(told(), "unknown team");
 }
 
@@ -637,16 +639,16 @@
   ASSERT_EQ(tenant.rules.size(), 5U);
   EXPECT_EQ(tenant.rules[0].tier, 3);
   EXPECT_EQ(tenant.rules[0].classes, (std::set<std::string>{"train"}));
-  EXPECT_EQ(tenant.rules[0].rank, wire::Rank::high);
+  EXPECT_EQ(tenant.rules[0].rank, wire::Priority::high);
   EXPECT_EQ(tenant.rules[0].guest, false);
   EXPECT_EQ(tenant.rules[1].tier, -4);
   EXPECT_TRUE(tenant.rules[1].classes.empty());
   EXPECT_FALSE(tenant.rules[1].rank);
   EXPECT_EQ(tenant.rules[1].guest, true);
-  EXPECT_EQ(tenant.rules[2].rank, wire::Rank::best_effort);
+  EXPECT_EQ(tenant.rules[2].rank, wire::Priority::best_effort);
   EXPECT_FALSE(tenant.rules[2].guest);
-  EXPECT_EQ(tenant.rules[3].rank, wire::Rank::normal);
-  EXPECT_EQ(tenant.rules[4].rank, wire::Rank::production);
+  EXPECT_EQ(tenant.rules[3].rank, wire::Priority::normal);
+  EXPECT_EQ(tenant.rules[4].rank, wire::Priority::production);
   EXPECT_EQ(tenant.refreshes, (std::set<std::string>{"index"}));
   EXPECT_EQ(tenant.tier_floor, 0.25);
   EXPECT_EQ(tenant.tier_ages_s, 120.5);
@@ -683,35 +685,35 @@
   EXPECT_EQ(settings.zone, "za");
   EXPECT_EQ(settings.api_addr, "10.0.0.1:8080");
   EXPECT_EQ(settings.peer_listen, "10.0.0.1:8081");
-  ASSERT_EQ(settings.siblings.size(), 2U);
-  EXPECT_EQ(settings.siblings[0].host_name, "worker-1");
-  EXPECT_EQ(settings.siblings[0].zone, "zb");
-  EXPECT_EQ(settings.siblings[0].addr, "10.0.0.2:8082");
-  EXPECT_EQ(settings.siblings[1].host_name, "worker-2");
-  EXPECT_EQ(settings.siblings[1].addr, "10.0.0.3:8083");
+  ASSERT_EQ(settings.peers.size(), 2U);
+  EXPECT_EQ(settings.peers[0].host_name, "worker-1");
+  EXPECT_EQ(settings.peers[0].zone, "zb");
+  EXPECT_EQ(settings.peers[0].addr, "10.0.0.2:8082");
+  EXPECT_EQ(settings.peers[1].host_name, "worker-2");
+  EXPECT_EQ(settings.peers[1].addr, "10.0.0.3:8083");
   EXPECT_EQ(settings.controllers, 3U);
   EXPECT_EQ(settings.main_zone, "zb");
   EXPECT_EQ(settings.cloud, "10.2.0.2:8443");
   EXPECT_EQ(settings.state, "10.2.0.1:2379");
   ASSERT_EQ(settings.teams.size(), 1U);
   EXPECT_EQ(settings.teams[0].name, "red");
-  EXPECT_EQ(settings.teams[0].guarantee, (wire::Amounts{7.5, 2.5, 0}));
-  EXPECT_EQ(settings.teams[0].limit, (wire::Amounts{9.5, 4.5, 0}));
+  EXPECT_EQ(settings.teams[0].guarantee, (wire::Resources{7.5, 2.5, 0}));
+  EXPECT_EQ(settings.teams[0].limit, (wire::Resources{9.5, 4.5, 0}));
   EXPECT_EQ(settings.within_s, (std::map<std::string, std::vector<double>>{{"train", {120.5}}}));
   EXPECT_EQ(settings.deadline_times,
             (std::map<std::string, std::vector<double>>{{"report", {1.5}}, {"train", {1}}}));
   EXPECT_EQ(settings.classes, (std::set<std::string>{"report", "serve", "train"}));
-  EXPECT_EQ(settings.report_s, 3.5);
-  EXPECT_EQ(settings.pace_s, 44.5 / 14);
+  EXPECT_EQ(settings.heartbeat_interval_s, 3.5);
+  EXPECT_EQ(settings.control_interval_s, 44.5 / 14);
   EXPECT_EQ(settings.lease_s, 44.5);
   EXPECT_EQ(settings.cancel_s, 69.5);
   EXPECT_EQ(settings.gang_wait_s, 50.5);
   EXPECT_EQ(settings.gang_peer_s, 4.25);
-  EXPECT_EQ(settings.state_rps, 240.5);
-  EXPECT_EQ(settings.state_write_rps, 59.5);
+  EXPECT_EQ(settings.state_requests_per_s, 240.5);
+  EXPECT_EQ(settings.state_writes_per_s, 59.5);
   EXPECT_EQ(settings.state_value_kb, 7.5);
   EXPECT_EQ(settings.state_txn_ops, 31U);
-  EXPECT_EQ(settings.cloud_rps, 6.5);
+  EXPECT_EQ(settings.cloud_requests_per_s, 6.5);
   EXPECT_EQ(settings.list_lag_s, 5.5);
   EXPECT_EQ(settings.sockets, 2000U);
 }
@@ -720,8 +722,8 @@
   auto file = wire::Json::parse(kPlatformFile);
   file["params"]["state"].erase("next");
   const auto settings = parse_settings(file.dump());
-  EXPECT_EQ(settings.state_rps, 250.5);
-  EXPECT_EQ(settings.state_write_rps, 60.5);
+  EXPECT_EQ(settings.state_requests_per_s, 250.5);
+  EXPECT_EQ(settings.state_writes_per_s, 60.5);
   EXPECT_EQ(settings.state_value_kb, 8.5);
   EXPECT_EQ(settings.state_txn_ops, 32U);
 }
@@ -807,7 +809,7 @@
   const auto own = parse_operator_settings(kOperatorFile);
   EXPECT_EQ(own.alpha, 0.75);
   EXPECT_EQ(own.phi, 0.15);
-  EXPECT_EQ(own.round_paces, 6.5);
+  EXPECT_EQ(own.round_intervals, 6.5);
   EXPECT_EQ(own.idle_boots, 3.5);
   EXPECT_EQ(own.final_states_kept, 12345U);
   EXPECT_EQ(own.begin_within_s, 250.5);
@@ -822,7 +824,7 @@
   const auto own = parse_operator_settings("");
   EXPECT_EQ(own.alpha, 0.8);
   EXPECT_EQ(own.phi, 0.1);
-  EXPECT_EQ(own.round_paces, 5);
+  EXPECT_EQ(own.round_intervals, 5);
   EXPECT_EQ(own.idle_boots, 2.5);
   EXPECT_EQ(own.final_states_kept, 20000U);
   EXPECT_EQ(own.begin_within_s, 240);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -19,9 +19,9 @@
 
 TEST(Job, RoundTrip) {
   const auto spec = parse_job(job());
-  EXPECT_EQ(spec.members, 16U);
-  EXPECT_EQ(spec.rank, Rank::high);
-  EXPECT_FALSE(spec.rack_room);
+  EXPECT_EQ(spec.task_count, 16U);
+  EXPECT_EQ(spec.priority, Priority::high);
+  EXPECT_FALSE(spec.zone);
   EXPECT_EQ(to_json(parse_job(to_json(spec))), to_json(spec));
 }
 
@@ -40,10 +40,10 @@
     if (optional.contains(name))
       EXPECT_NO_THROW(parse_job(without)) << name;
     else
-      EXPECT_THROW(parse_job(without), Malformed) << name;
+      EXPECT_THROW(parse_job(without), ProtocolError) << name;
     auto wrong = job();
     wrong[name] = Json::object();
-    EXPECT_THROW(parse_job(wrong), Malformed) << name;
+    EXPECT_THROW(parse_job(wrong), ProtocolError) << name;
   }
 }
 
@@ -56,7 +56,7 @@
   for (const auto& [name, value] : bad) {
     auto object = job();
     object[name] = value;
-    EXPECT_THROW(parse_job(object), Malformed) << name << " " << value;
+    EXPECT_THROW(parse_job(object), ProtocolError) << name << " " << value;
   }
 }
 
@@ -67,20 +67,20 @@
     return object;
   };
   for (const auto& none : {Json(nullptr), Json::array()}) {
-    EXPECT_TRUE(parse_job(with(none)).waits_on.empty());
+    EXPECT_TRUE(parse_job(with(none)).depends_on.empty());
     EXPECT_EQ(to_json(parse_job(with(none))), to_json(parse_job(job()))) << "stored as it always was";
   }
   const auto spec = parse_job(with({"job-2", "job-1", "job-2"}));
-  EXPECT_EQ(spec.waits_on, (std::vector<JobId>{{"job-2"}, {"job-1"}})) << "named twice counts once";
-  EXPECT_EQ(parse_job(to_json(spec)).waits_on, spec.waits_on);
+  EXPECT_EQ(spec.depends_on, (std::vector<JobId>{{"job-2"}, {"job-1"}})) << "named twice counts once";
+  EXPECT_EQ(parse_job(to_json(spec)).depends_on, spec.depends_on);
   for (const Json& bad :
        {Json("job-1"), Json(7), Json{7}, Json{"job-"}, Json{"task-1"}, Json{"job-1/2"}, Json{nullptr}})
-    EXPECT_THROW(parse_job(with(bad)), Malformed) << bad;
+    EXPECT_THROW(parse_job(with(bad)), ProtocolError) << bad;
 }
 
 TEST(Text, RefusesWhatIsNoObject) {
   for (const auto* text : {"", "[1]", "7", "{\"a\":", "null", "\"x\"", "{} x"})
-    EXPECT_THROW(parse_object(text), Malformed) << text;
+    EXPECT_THROW(parse_object(text), ProtocolError) << text;
 }
 
 TEST(Report, RoundTrip) {
@@ -88,33 +88,33 @@
     "reclaimable":true,"tenure":1,"counter":88,"fence":41,"warning_s":null,
     "members":[{"member":"job-000412/3","try_no":2,"phase":"running"},
                {"member":"job-000398/0","try_no":1,"phase":"exited","exit_cause":"done"}]})";
-  const auto report = parse_report(parse_object(text));
-  EXPECT_EQ(report.members.size(), 2U);
-  EXPECT_EQ(report.members[1].cause, ExitCause::done);
-  EXPECT_EQ(to_json(parse_report(to_json(report))), to_json(report));
+  const auto heartbeat = parse_heartbeat(parse_object(text));
+  EXPECT_EQ(heartbeat.tasks.size(), 2U);
+  EXPECT_EQ(heartbeat.tasks[1].exit_reason, ExitReason::done);
+  EXPECT_EQ(to_json(parse_heartbeat(to_json(heartbeat))), to_json(heartbeat));
 }
 
 TEST(Orders, RoundTrip) {
-  const std::vector<Order> orders = {{Verb::start, {JobId{"job-1"}, 4}, TryNo{2}, 0},
-                                     {Verb::stop, {JobId{"job-1"}, 5}, TryNo{1}, 10}};
-  EXPECT_EQ(to_json(parse_orders(to_json(orders))), to_json(orders));
+  const std::vector<Command> commands = {{CommandType::start, {JobId{"job-1"}, 4}, AttemptNumber{2}, 0},
+                                         {CommandType::stop, {JobId{"job-1"}, 5}, AttemptNumber{1}, 10}};
+  EXPECT_EQ(to_json(parse_commands(to_json(commands))), to_json(commands));
 }
 
 TEST(Finished, BitsSurviveTheStore) {
   std::mt19937 random(5);
-  std::vector<char> marks(kFinishedChunk * 2 + 77);
+  std::vector<char> marks(kCompletionChunkTasks * 2 + 77);
   for (auto& mark : marks) mark = random() % 3 == 0 ? 2 : 0;
   std::vector<char> read(marks.size(), 0);
   for (std::uint32_t chunk = 0; chunk < 3; ++chunk)
-    for (const auto index : parse_finished_hex(finished_hex(marks, chunk, 2), chunk)) read.at(index) = 2;
+    for (const auto index : parse_completion_hex(completion_hex(marks, chunk, 2), chunk)) read.at(index) = 2;
   EXPECT_EQ(read, marks);
-  EXPECT_THROW(parse_finished_hex("zz", 0), Malformed);
+  EXPECT_THROW(parse_completion_hex("zz", 0), ProtocolError);
 }
 
 TEST(Records, RoundTrip) {
-  JobRecord record{parse_job(job()), JobPhase::cancelled, 12.5};
+  JobRecord record{parse_job(job()), JobState::cancelled, 12.5};
   const auto read = parse_job_record(to_json(record));
-  EXPECT_EQ(read.phase, JobPhase::cancelled);
+  EXPECT_EQ(read.state, JobState::cancelled);
   EXPECT_EQ(to_json(read), to_json(record));
   RentalRecord rental{"g8", "a", true, 3, 1.5, std::vector<std::string>{"n-1", "n-2"}};
   EXPECT_EQ(to_json(parse_rental_record(to_json(rental))), to_json(rental));
@@ -122,30 +122,30 @@
 
 TEST(Records, MachinesShareAKeyAndThoseOfVersion01AreRead) {
   const MachineGroupRecord group{
-      "g8", "a", true, {{HostId{"n-1"}, "10.1.0.1:9000"}, {HostId{"n-2"}, "10.1.0.2:9000"}}};
+      "g8", "a", true, {{MachineId{"n-1"}, "10.1.0.1:9000"}, {MachineId{"n-2"}, "10.1.0.2:9000"}}};
   EXPECT_EQ(parse_machine_group("5-1", to_json(group)), group);
   const auto single = parse_machine_group(
       "n-7",
       Json{{"address", "10.1.0.7:9000"}, {"flavor", "g8"}, {"rack_room", "a"}, {"reclaimable", false}});
-  EXPECT_EQ(single, (MachineGroupRecord{"g8", "a", false, {{HostId{"n-7"}, "10.1.0.7:9000"}}}));
+  EXPECT_EQ(single, (MachineGroupRecord{"g8", "a", false, {{MachineId{"n-7"}, "10.1.0.7:9000"}}}));
   EXPECT_THROW(parse_machine_group("5-1", Json{{"flavor", "g8"}, {"rack_room", "a"}, {"reclaimable", true}}),
-               Malformed);
+               ProtocolError);
   // What the leader counts for a machine is at least what it adds to the value.
   std::size_t counted = to_json(MachineGroupRecord{"g8", "a", true, {}}).dump().size();
-  for (const auto& [host, address] : group.hosts) counted += group_bytes(host, address);
+  for (const auto& [host, address] : group.machines) counted += group_bytes(host, address);
   EXPECT_GE(counted, to_json(group).dump().size());
 }
 
 TEST(Records, FinishedTasksOfManyJobsShareAKeyAndThoseOfVersion01AreRead) {
-  const FinishedBucket bucket{{{JobId{"job-1"}, 0}, "0f"}, {{JobId{"job-2"}, 3}, "a1"}};
-  EXPECT_EQ(parse_finished_bucket("17", to_json(bucket)), bucket);
-  EXPECT_EQ(parse_finished_bucket("job-9/2", Json("ff")), (FinishedBucket{{{JobId{"job-9"}, 2}, "ff"}}));
-  EXPECT_THROW(parse_finished_bucket("17", Json{{"job-9", "ff"}}), Malformed);
-  EXPECT_THROW(parse_finished_bucket("x", Json("ff")), Malformed);
+  const CompletionBucket bucket{{{JobId{"job-1"}, 0}, "0f"}, {{JobId{"job-2"}, 3}, "a1"}};
+  EXPECT_EQ(parse_completion_bucket("17", to_json(bucket)), bucket);
+  EXPECT_EQ(parse_completion_bucket("job-9/2", Json("ff")), (CompletionBucket{{{JobId{"job-9"}, 2}, "ff"}}));
+  EXPECT_THROW(parse_completion_bucket("17", Json{{"job-9", "ff"}}), ProtocolError);
+  EXPECT_THROW(parse_completion_bucket("x", Json("ff")), ProtocolError);
   for (const std::uint32_t members : {1U, 80U, 2048U, 2049U, 100'000U}) {
     const std::vector<char> marks(members, 2);
-    const std::uint32_t last = (members - 1) / kFinishedChunk;
-    const FinishedBucket one{{{JobId{"job-000412"}, last}, finished_hex(marks, last, 2)}};
+    const std::uint32_t last = (members - 1) / kCompletionChunkTasks;
+    const CompletionBucket one{{{JobId{"job-000412"}, last}, completion_hex(marks, last, 2)}};
     EXPECT_GE(chunk_bytes(members, last), to_json(one).dump().size()) << members;
   }
 }
@@ -155,9 +155,9 @@
 TEST(Records, LongListsOfJobsGoToFurtherKeys) {
   const auto limit = usable_bytes(2);
   for (const std::size_t count : {0U, 1U, 40U, 150U, 500U, 1500U, 5000U}) {
-    JobRecord record{parse_job(job()), JobPhase::accepted, 1.8e9, 0, 0};
+    JobRecord record{parse_job(job()), JobState::accepted, 1.8e9, 0, 0};
     for (std::size_t i = 0; i < count; ++i)
-      record.spec.waits_on.push_back({"job-" + std::to_string(900000 + i)});
+      record.spec.depends_on.push_back({"job-" + std::to_string(900000 + i)});
     const auto values = stored_job(record, limit, 8);
     EXPECT_EQ(values.empty(), count == 5000U) << count;
     if (values.empty()) continue;
@@ -165,46 +165,47 @@
     EXPECT_EQ(values.size() == 1, count <= 40) << count;
     for (const auto& [key, value] : values) EXPECT_LE(value.dump().size(), limit) << key;
     auto read = parse_job_record(values.front().second);
-    EXPECT_EQ(values.size(), 1 + read.waits_parts);
-    for (std::uint32_t part = 0; part < read.waits_parts; ++part) {
-      EXPECT_EQ(values[part + 1].first, waits_key(record.spec.uid, part));
-      for (const auto& id : parse_waits_part(values[part + 1].second)) read.spec.waits_on.push_back(id);
+    EXPECT_EQ(values.size(), 1 + read.dependency_parts);
+    for (std::uint32_t part = 0; part < read.dependency_parts; ++part) {
+      EXPECT_EQ(values[part + 1].first, dependencies_key(record.spec.id, part));
+      for (const auto& id : parse_dependencies_part(values[part + 1].second))
+        read.spec.depends_on.push_back(id);
     }
-    EXPECT_EQ(read.spec.waits_on, record.spec.waits_on);
+    EXPECT_EQ(read.spec.depends_on, record.spec.depends_on);
   }
-  EXPECT_THROW(parse_waits_part(Json("1 x")), Malformed);
-  EXPECT_THROW(parse_waits_part(Json(1)), Malformed);
+  EXPECT_THROW(parse_dependencies_part(Json("1 x")), ProtocolError);
+  EXPECT_THROW(parse_dependencies_part(Json(1)), ProtocolError);
 }
 
 // A job whose record was written under a larger limit must still be able to end.
 TEST(Records, AnEndFitsWhateverTheJobWas) {
   const auto limit = usable_bytes(2);
-  JobRecord record{parse_job(job()), JobPhase::accepted, 1.8e9, 0, 0};
-  EXPECT_EQ(parse_job_record(final_json(record, JobPhase::done, 1.9e9, limit)).spec.flavors,
-            record.spec.flavors);
-  record.spec.flavors = std::vector<std::string>(30, std::string(200, 'f'));
-  record.spec.queue = record.spec.bundle = std::string(200, '\x01');
-  record.spec.rack_room = record.spec.owner = std::string(200, 'o');
-  for (int i = 0; i < 900; ++i) record.spec.waits_on.push_back({"job-" + std::to_string(i)});
+  JobRecord record{parse_job(job()), JobState::accepted, 1.8e9, 0, 0};
+  EXPECT_EQ(parse_job_record(final_record_json(record, JobState::done, 1.9e9, limit)).spec.machine_types,
+            record.spec.machine_types);
+  record.spec.machine_types = std::vector<std::string>(30, std::string(200, 'f'));
+  record.spec.job_class = record.spec.image = std::string(200, '\x01');
+  record.spec.zone = record.spec.team = std::string(200, 'o');
+  for (int i = 0; i < 900; ++i) record.spec.depends_on.push_back({"job-" + std::to_string(i)});
   EXPECT_TRUE(stored_job(record, limit, 8).empty());
-  const auto ended = final_json(record, JobPhase::cancelled, 1.9e9, limit);
+  const auto ended = final_record_json(record, JobState::cancelled, 1.9e9, limit);
   EXPECT_LE(ended.dump().size(), limit);
   const auto read = parse_job_record(ended);
-  EXPECT_EQ(read.phase, JobPhase::cancelled);
+  EXPECT_EQ(read.state, JobState::cancelled);
   EXPECT_EQ(read.ended_at, 1.9e9);
-  EXPECT_EQ(read.spec.owner, record.spec.owner);
-  EXPECT_EQ(read.spec.members, record.spec.members);
+  EXPECT_EQ(read.spec.team, record.spec.team);
+  EXPECT_EQ(read.spec.task_count, record.spec.task_count);
 }
 
 TEST(Records, ACatalogueOfAnyLengthIsStoredAndRead) {
   const auto limit = usable_bytes(2);
-  std::vector<Flavor> flavors;
+  std::vector<MachineType> machine_types;
   CatalogueReader reader;
   for (const std::size_t count : {3U, 40U, 25U, 2U}) {
-    flavors.resize(count);
+    machine_types.resize(count);
     for (std::size_t i = 0; i < count; ++i)
-      flavors[i] = {"flavor-" + std::to_string(i), {8, 0, 32}, 60, 1, 1, 0.3, 35, {"za", "zb"}};
-    const auto values = stored_catalogue(flavors, limit, count);
+      machine_types[i] = {"flavor-" + std::to_string(i), {8, 0, 32}, 60, 1, 1, 0.3, 35, {"za", "zb"}};
+    const auto values = stored_catalogue(machine_types, limit, count);
     EXPECT_EQ(values.size() == 1, count <= 3U);
     std::size_t learned = 0;
     for (const auto& [key, value] : values) {
@@ -214,19 +215,19 @@
       EXPECT_EQ(read.has_value(), &value == &values.back().second)
           << "parts of two generations are not mixed";
       if (read) {
-        EXPECT_EQ(to_json(*read), to_json(flavors));
+        EXPECT_EQ(to_json(*read), to_json(machine_types));
       }
     }
     EXPECT_EQ(learned, 1U);
   }
-  EXPECT_FALSE(reader.learn(kCatalogueParts + "0", std::nullopt));
+  EXPECT_FALSE(reader.learn(kCataloguePartKeyPrefix + "0", std::nullopt));
   EXPECT_FALSE(reader.learn(kTermKey, Json{{"n", 1}}));
 }
 
 std::vector<Frame> frames() {
-  return {Hello{~0ULL >> 1, "node-1"}, Beat{41, true, false},
-          Call{7, true, "/submissions", std::string(5000, 'x')}, Answer{7, 201, 1500, "{}"},
-          Progress{3, 13, "job-000412", "no machine has room yet"}};
+  return {Hello{~0ULL >> 1, "node-1"}, PeerStatus{41, true, false},
+          RelayedRequest{7, true, "/submissions", std::string(5000, 'x')},
+          RelayedResponse{7, 201, 1500, "{}"}, JobProgress{3, 13, "job-000412", "no machine has room yet"}};
 }
 
 TEST(Frames, RoundTripInPiecesOfAnySize) {
@@ -265,7 +266,7 @@
 }
 
 TEST(Frames, FixedByteOrder) {
-  const auto bytes = encode(Beat{0x0102030405060708ULL, true, false});
+  const auto bytes = encode(PeerStatus{0x0102030405060708ULL, true, false});
   EXPECT_EQ(bytes,
             std::string("\x42\x48\x01\x01\x00\x00\x00\x0a\x01\x02\x03\x04\x05\x06\x07\x08\x01\x00", 18));
 }
--- a/tests/write_coalescer_test.cpp
+++ b/tests/write_coalescer_test.cpp
@@ -20,7 +20,7 @@
 class FakeOwner final : public WriteOwner {
  public:
   bool may_write() const override { return leads; }
-  wire::Stamp expected_revision(const std::string& key) const override { return cache.stamp(key); }
+  wire::KeyRevision expected_revision(const std::string& key) const override { return cache.revision(key); }
   bool is_final(const std::string& key) const override { return final_keys.contains(key); }
   bool holds(const std::string& key, const std::optional<Json>& data) const override {
     const auto* entry = cache.find(key);
@@ -41,7 +41,7 @@
   void after_commit() override { events.push_back("after"); }
 
   bool leads = true;
-  View cache;
+  StoreCache cache;
   std::set<std::string> final_keys;
   std::set<std::string> urgent_keys;
   std::set<std::string> withheld_keys;
@@ -52,7 +52,7 @@
 
 class WriteCoalescerTest : public testing::Test {
  protected:
-  WriteCoalescerTest() { owner.cache.apply({wire::kTermKey, Json{{"n", 7}}, wire::Stamp{70}}); }
+  WriteCoalescerTest() { owner.cache.apply({wire::kTermKey, Json{{"n", 7}}, wire::KeyRevision{70}}); }
 
   WriteCallback record(const std::string& event) {
     return [this, event] { owner.events.push_back(event); };
@@ -67,16 +67,16 @@
     for (const auto& write : commits.back().transaction.writes) keys.push_back(write.key);
     return keys;
   }
-  wire::Stamp condition(const std::string& key) const {
-    for (const auto& when : commits.back().transaction.when)
-      if (when.key == key) return when.stamp;
+  wire::KeyRevision condition(const std::string& key) const {
+    for (const auto& when : commits.back().transaction.conditions)
+      if (when.key == key) return when.revision;
     ADD_FAILURE() << "no condition on " << key;
     return {};
   }
   void answer(Outcome outcome, std::uint64_t revision = 0) {
     // A copy: the answer may send the next transaction.
     const auto done = commits.back().done;
-    done({outcome, wire::Epoch{revision}});
+    done({outcome, wire::StoreRevision{revision}});
     turn();
   }
   void answer_sync(bool synced) {
@@ -93,33 +93,33 @@
   test_support::ManualLoop loop;
   FakeOwner owner;
   std::vector<Commit> commits;
-  std::vector<Sync> syncs;
+  std::vector<ReadBarrier> syncs;
   double spare_writes = 100;
   WriteCoalescer writes{
       loop,
       {kIntervalS, kRoundS, kTransactionWrites, kValueBytes},
       {[this](Commit message) { commits.push_back(std::move(message)); },
-       [this](Sync message) { syncs.push_back(std::move(message)); }, [this] { return spare_writes; }},
+       [this](ReadBarrier message) { syncs.push_back(std::move(message)); }, [this] { return spare_writes; }},
       owner};
 };
 
 TEST_F(WriteCoalescerTest, CommitsOnTheRevisionOfTheTermAndOfEachKey) {
-  owner.cache.apply({"known", Json("old"), wire::Stamp{81}});
+  owner.cache.apply({"known", Json("old"), wire::KeyRevision{81}});
   writes.store("known", Json("new"), FlushDelay::none, record("known stored"));
   writes.store("unknown", Json("first"), FlushDelay::none);
   turn();
   ASSERT_EQ(commits.size(), 1U);
-  EXPECT_EQ(commits[0].transaction.when.front().key, wire::kTermKey);
+  EXPECT_EQ(commits[0].transaction.conditions.front().key, wire::kTermKey);
   EXPECT_EQ(condition(wire::kTermKey).value, 70U);
   EXPECT_EQ(condition("known").value, 81U);
   EXPECT_EQ(condition("unknown").value, 0U);
   EXPECT_EQ(written_keys(), (std::vector<std::string>{"known", "unknown"}));
   EXPECT_TRUE(owner.events.empty());
 
-  answer(Outcome::done, 90);
+  answer(Outcome::committed, 90);
   EXPECT_EQ(owner.events,
             (std::vector<std::string>{"apply known", "apply unknown", "known stored", "after"}));
-  EXPECT_EQ(owner.cache.stamp("known").value, 90U);
+  EXPECT_EQ(owner.cache.revision("known").value, 90U);
   EXPECT_EQ(writes.size(), 0U);
 }
 
@@ -129,7 +129,7 @@
   writes.store("b", Json(2), FlushDelay::none);
   pass_delays();
   EXPECT_EQ(commits.size(), 1U);
-  answer(Outcome::done, 90);
+  answer(Outcome::committed, 90);
   ASSERT_EQ(commits.size(), 2U);
   EXPECT_EQ(written_keys(), std::vector<std::string>{"b"});
 }
@@ -143,7 +143,7 @@
   loop.pass(0.02);  // the earliest of the three counts
   ASSERT_EQ(commits.size(), 1U);
   EXPECT_EQ(commits[0].transaction.writes.front().data, Json(3));
-  answer(Outcome::done, 90);
+  answer(Outcome::committed, 90);
   EXPECT_EQ(owner.events, (std::vector<std::string>{"apply a", "first", "second", "third", "after"}));
 }
 
@@ -161,7 +161,7 @@
   loop.pass(kIntervalS / 30);
   ASSERT_EQ(commits.size(), 1U);
   EXPECT_EQ(written_keys(), (std::vector<std::string>{"awaited", "none", "machines", "exits"}));
-  answer(Outcome::done, 90);
+  answer(Outcome::committed, 90);
   ASSERT_EQ(commits.size(), 2U);
   EXPECT_EQ(written_keys(), (std::vector<std::string>{"removal", "garbage"}));
 }
@@ -184,20 +184,20 @@
     writes.store("a" + std::to_string(100 + i), Json(1), FlushDelay::none);
   turn();
   EXPECT_EQ(written_keys().size(), kTransactionWrites);
-  answer(Outcome::done, 90);
+  answer(Outcome::committed, 90);
   EXPECT_EQ(written_keys().size(), 2U);
-  answer(Outcome::done, 91);
+  answer(Outcome::committed, 91);
 
   const std::string large(20 * 1024, 'x');
   for (const auto* key : {"b1", "b2", "b3"}) writes.store(key, Json(large), FlushDelay::none);
   turn();
   EXPECT_EQ(written_keys(), (std::vector<std::string>{"b1", "b2"}));
-  answer(Outcome::done, 92);
+  answer(Outcome::committed, 92);
   EXPECT_EQ(written_keys(), std::vector<std::string>{"b3"});
 }
 
 TEST_F(WriteCoalescerTest, DeletesOnlyWhatExistsAndKeepsTheConditionThatTheRestDoesNot) {
-  owner.cache.apply({"there", Json(1), wire::Stamp{81}});
+  owner.cache.apply({"there", Json(1), wire::KeyRevision{81}});
   writes.store("there", std::nullopt, FlushDelay::none);
   writes.store("absent", std::nullopt, FlushDelay::none);
   turn();
@@ -253,14 +253,14 @@
   retry();
   EXPECT_EQ(commits.size(), 1U) << "nothing is sent before the barrier's answer";
 
-  owner.cache.apply({"a", Json("of another"), wire::Stamp{85}});
+  owner.cache.apply({"a", Json("of another"), wire::KeyRevision{85}});
   answer_sync(true);
   EXPECT_EQ(commits.size(), 1U) << "the owner decides when to try again";
   retry();
   ASSERT_EQ(commits.size(), 2U);
   EXPECT_EQ(condition("a").value, 85U);
   EXPECT_TRUE(owner.events.empty());
-  answer(Outcome::done, 90);
+  answer(Outcome::committed, 90);
   EXPECT_EQ(owner.events, (std::vector<std::string>{"apply a", "stored", "after"}));
 }
 
@@ -268,7 +268,7 @@
   writes.store("a", Json(1), FlushDelay::none, record("stored"));
   turn();
   answer(Outcome::unknown);
-  owner.cache.apply({"a", Json(1), wire::Stamp{85}});
+  owner.cache.apply({"a", Json(1), wire::KeyRevision{85}});
   answer_sync(true);
   EXPECT_EQ(owner.events, std::vector<std::string>{"stored"});
   EXPECT_FALSE(writes.contains("a"));
@@ -289,7 +289,7 @@
 
 // That the key holds what is wanted may be how it was before the transaction.
 TEST_F(WriteCoalescerTest, WithoutABarrierTheKeysValueProvesNothing) {
-  owner.cache.apply({"a", Json(1), wire::Stamp{81}});
+  owner.cache.apply({"a", Json(1), wire::KeyRevision{81}});
   writes.store("a", Json(1), FlushDelay::none, record("stored"));
   turn();
   answer(Outcome::unknown);
@@ -313,13 +313,13 @@
   turn();
   writes.store("a", Json(2), FlushDelay::none, record("second"));
   answer(Outcome::unknown);
-  owner.cache.apply({"a", Json(1), wire::Stamp{85}});
+  owner.cache.apply({"a", Json(1), wire::KeyRevision{85}});
   answer_sync(true);
   EXPECT_TRUE(owner.events.empty());
   retry();
   ASSERT_EQ(commits.size(), 2U);
   EXPECT_EQ(commits[1].transaction.writes.front().data, Json(2));
-  answer(Outcome::done, 90);
+  answer(Outcome::committed, 90);
   EXPECT_EQ(owner.events, (std::vector<std::string>{"apply a", "first", "second", "after"}));
 }
 
@@ -328,7 +328,7 @@
   turn();
   for (const std::size_t expected : {8U, 4U, 2U, 1U}) {
     EXPECT_EQ(written_keys().size(), expected);
-    answer(Outcome::malformed);
+    answer(Outcome::invalid);
   }
   EXPECT_TRUE(syncs.empty()) << "it is known not to be executed";
   // Too small to be refused for its size, k0 is set aside and the others go on, one at a time for a while.
@@ -337,7 +337,7 @@
   EXPECT_EQ(written_keys(), std::vector<std::string>{"k1"});
   for (int i = 1; i < 8; ++i) {
     EXPECT_EQ(written_keys(), std::vector<std::string>{"k" + std::to_string(i)});
-    answer(Outcome::done, 90 + static_cast<std::uint64_t>(i));
+    answer(Outcome::committed, 90 + static_cast<std::uint64_t>(i));
   }
   const auto sent = commits.size();
   loop.pass(4 * kRoundS - 1);
@@ -350,7 +350,7 @@
 TEST_F(WriteCoalescerTest, TheValueLimitShrinksBelowALargeValueThatIsRefusedAlone) {
   writes.store("large", Json(std::string(2000, 'x')), FlushDelay::none);
   turn();
-  answer(Outcome::malformed);
+  answer(Outcome::invalid);
   EXPECT_EQ(writes.value_limit(), 1401U);  // 0.7 of the value with its quotes
   ASSERT_EQ(commits.size(), 2U) << "tried again at once, for its owner to make it smaller";
 }
@@ -359,14 +359,14 @@
   writes.store("a", Json(1), FlushDelay::none);
   writes.store("b", Json(1), FlushDelay::none);
   turn();
-  answer(Outcome::malformed);
+  answer(Outcome::invalid);
   EXPECT_EQ(writes.batch_limit(), 1U);
   for (int i = 0; i < 31; ++i) {
     writes.store("next" + std::to_string(i), Json(1), FlushDelay::none);
-    answer(Outcome::done, 90 + static_cast<std::uint64_t>(i));
+    answer(Outcome::committed, 90 + static_cast<std::uint64_t>(i));
     EXPECT_EQ(writes.batch_limit(), 1U);
   }
-  answer(Outcome::done, 130);
+  answer(Outcome::committed, 130);
   EXPECT_EQ(writes.batch_limit(), kTransactionWrites);
 }
 
@@ -378,7 +378,7 @@
   turn();
   ASSERT_EQ(commits.size(), 2U) << "the transaction of before holds up nothing";
   const auto late_answer = commits[0].done;
-  late_answer({Outcome::done, wire::Epoch{90}});
+  late_answer({Outcome::committed, wire::StoreRevision{90}});
   late_answer({Outcome::unknown, {}});
   turn();
   EXPECT_TRUE(owner.events.empty());
