--- a/src/leader/gangs.cpp
+++ b/src/leader/gangs.cpp
@@ -160,11 +160,12 @@
     // What is moved stays within its team's limit: it is stopped before it starts.
     const bool waits = placeable(job) > 0;
     if (waits && (!may_start(job) || !team_has_room(job, gangs_.tracker().span(id)))) continue;
-    const bool coming = std::any_of(fleet_.pools().begin(), fleet_.pools().end(), [&](const auto& entry) {
-      return model::allows(job.spec, entry.first) && entry.second.sums.booting > 0 &&
-             (lack.zone.empty() || entry.first.zone == lack.zone) &&
-             job.spec.request.fits(entry.second.capacity);
-    });
+    const bool coming =
+        std::any_of(fleet_.pools().begin(), fleet_.pools().end(), [&, &lack = lack](const auto& entry) {
+          return model::allows(job.spec, entry.first) && entry.second.sums.booting > 0 &&
+                 (lack.zone.empty() || entry.first.zone == lack.zone) &&
+                 job.spec.request.fits(entry.second.capacity);
+        });
     if (coming) return;
     planner::Work item;
     item.request = job.spec.request;
--- a/src/leader/machines.cpp
+++ b/src/leader/machines.cpp
@@ -12,9 +12,7 @@
 using queue::task_s;
 using state::FlushDelay;
 
-namespace {
-constexpr double kMemory = 4;  // rounds after which a boot or a reclaim counts a third: a wave passes
-}  // namespace
+namespace {}  // namespace
 
 // What is left, after so many seconds, of something counted.
 double Leader::decay_factor(double passed) const { return model::decay(passed, settings_.round_s); }
--- a/src/model/downlink_health.hpp
+++ b/src/model/downlink_health.hpp
@@ -4,7 +4,7 @@
 //
 // Proof that an answer was lost is a later heartbeat in its turn: a worker has one heartbeat under way at a
 // time, and drops an answer that comes after the next heartbeat has gone. It proves nothing about who lost
-// it, machine, controller or network: so the machine is asked directly before it counts as deaf, and an
+// it, machine, controller or network: so the machine is asked directly before it counts as lost, and an
 // answer to that clears it.
 #pragma once
 
@@ -31,7 +31,7 @@
   enum class State { healthy, probing, lost };
 
   // A report was answered with the right to give orders.
-  void response_sent(double now, std::uint64_t counter, wire::AgentEpoch agent_epoch,
+  void response_sent(double now, std::uint64_t sequence, wire::AgentEpoch agent_epoch,
                      wire::FencingToken fencing_token, const std::string& by);
   // A newer heartbeat came in its turn.
   void heartbeat_received(double now, const HeartbeatTiming& times, const Evidence& shown);
@@ -44,40 +44,40 @@
 
   State state() const { return state_; }
   bool takes_tasks() const { return state_ == State::healthy; }
-  bool probe_due(double now) const { return state_ != State::healthy && now >= next_ask_; }
+  bool probe_due(double now) const { return state_ != State::healthy && now >= next_probe_; }
   // Asked in vain more than once: others are rented in its place.
-  bool considered_lost() const { return state_ == State::lost && unanswered_ >= kOutAfter; }
+  bool considered_lost() const { return state_ == State::lost && unanswered_ >= kLostAfterProbes; }
   // To be returned to the cloud.
   bool give_up(double now, const HeartbeatTiming& times) const;
   double since() const { return since_; }  // steady clock: when it became suspect
 
   // When a heartbeat last showed that an answer of a peer was heard, or lost: tells a leader that is not
   // heard from machines that do not hear.
-  double heard_by_peer() const { return heard_by_sibling_; }
-  double lost_by_peer() const { return lost_by_sibling_; }
+  double heard_by_peer() const { return heard_by_peer_; }
+  double lost_by_peer() const { return lost_by_peer_; }
 
  private:
-  static constexpr std::uint32_t kOutAfter = 2;
-  struct Answered {
-    std::uint64_t counter = 0;  // 0: none
-    wire::AgentEpoch tenure;
-    wire::FencingToken fence;
-    std::string by;
-    double at = 0;
+  static constexpr std::uint32_t kLostAfterProbes = 2;
+  struct Response {
+    std::uint64_t sequence = 0;  // 0: none
+    wire::AgentEpoch agent_epoch;
+    wire::FencingToken fencing_token;
+    std::string forwarded_by;
+    double sent_at = 0;
   };
   void suspect(double now, double pause_s);
   double pause(const HeartbeatTiming& times, std::uint32_t times_before) const;
 
   State state_ = State::healthy;
-  Answered last_;
+  Response last_;
   double since_ = 0;
-  wire::AgentEpoch session_;  // in which it became suspect
-  double next_ask_ = 0;
+  wire::AgentEpoch suspected_epoch_;  // in which it became suspect
+  double next_probe_ = 0;
   double hold_until_ = 0;         // one that fell back so soon is not used again before
   std::uint32_t unanswered_ = 0;  // questions, since it became suspect
   std::uint32_t relapses_ = 0;    // suspect again without an answer proved heard in between
-  double heard_by_sibling_ = -1e9;
-  double lost_by_sibling_ = -1e9;
+  double heard_by_peer_ = -1e9;
+  double lost_by_peer_ = -1e9;
 };
 
 }  // namespace bankhill::model
--- a/src/model/machine.hpp
+++ b/src/model/machine.hpp
@@ -59,7 +59,7 @@
   std::size_t joining = 0;        // up, and about to take tasks: not recorded yet, or not asked or answered
   std::size_t unconfirmed = 0;    // inherited from an earlier leader, not heard in this term
   wire::Resources unconfirmed_capacity;
-  double cores = 0;       // of machines that are up or coming and stay, without those that are deaf
+  double cores = 0;       // of machines that are up or coming and stay, without those whose downlink is lost
   double free_cores = 0;  // of machines that take tasks now
 
   FleetTotals& operator+=(const FleetTotals& other);
--- a/src/state/store.cpp
+++ b/src/state/store.cpp
@@ -86,7 +86,7 @@
   list_timer_ = loop().after(loop().uniform(kRetryMinS, kRetryMaxS), [this, after] { list(after); });
 }
 
-void Store::take_page(protocol::KeyPage page) {
+void Store::take_page(protocol::KeyPage&& page) {
   std::string last;
   for (auto& [key, entry] : page.entries) {
     listing_[key] = std::move(entry);
--- a/src/state/store.hpp
+++ b/src/state/store.hpp
@@ -129,7 +129,7 @@
   void list(std::string after);
   void list_again(const std::string& after);
   void list_anew();
-  void take_page(protocol::KeyPage page);
+  void take_page(protocol::KeyPage&& page);
   void finish_list();
 
   void publish(std::vector<Change> changes);
--- a/src/state/write_coalescer.cpp
+++ b/src/state/write_coalescer.cpp
@@ -8,8 +8,8 @@
 namespace bankhill::state {
 
 namespace {
-constexpr std::size_t kBatchBytes = 48 * 1024;  // of the 64 KiB that a transaction may hold
-constexpr std::size_t kUrgentWrites = 4;        // in an urgent batch, however little of the limit is left
+constexpr std::size_t kBatchBytes = std::size_t{48} * 1024;  // of the 64 KiB that a transaction may hold
+constexpr std::size_t kUrgentWrites = 4;  // in an urgent batch, however little of the limit is left
 
 // Delays, of which the control interval holds this many.
 constexpr double kMachinesDelays = 30;
@@ -165,7 +165,7 @@
   service_.sync(ReadBarrier{lifetime_.guard(std::move(on_synced)), true});
 }
 
-void WriteCoalescer::handle_committed(Batch batch, wire::StoreRevision revision) {
+void WriteCoalescer::handle_committed(Batch&& batch, wire::StoreRevision revision) {
   committing_ = false;
   if (++commits_since_refusal_ >= kCalmCommits) batch_limit_ = settings_.transaction_writes;
   for (auto& [key, write] : batch)
@@ -178,7 +178,7 @@
 
 // Retried as it was it would hold up everything behind it: halved, until the write that is not taken stands
 // alone; that is made smaller, or set aside.
-void WriteCoalescer::handle_malformed(Batch batch) {
+void WriteCoalescer::handle_malformed(Batch&& batch) {
   const double wait_s = shrink_limits(batch);
   for (auto& [key, write] : batch) write.due_at = std::max(write.due_at, loop_.now()) + wait_s;
   resolve_unknown_outcome(std::move(batch), true);
@@ -200,7 +200,7 @@
 
 // `cache_is_current`: what is known is newer than the transaction. Else what it wrote may not be, and that a
 // key holds what is wanted now may be how it was before.
-void WriteCoalescer::resolve_unknown_outcome(Batch batch, bool cache_is_current) {
+void WriteCoalescer::resolve_unknown_outcome(Batch&& batch, bool cache_is_current) {
   committing_ = false;
   std::vector<WriteCallback> settled;
   for (auto& [key, write] : batch) {
--- a/src/state/write_coalescer.hpp
+++ b/src/state/write_coalescer.hpp
@@ -116,10 +116,10 @@
   void drop_final(const std::string& key);
   void send(Transaction transaction, BatchPtr batch, bool urgent);
   void handle_result(const CommitResult& result, const BatchPtr& batch);
-  void handle_committed(Batch batch, wire::StoreRevision revision);
-  void handle_malformed(Batch batch);
+  void handle_committed(Batch&& batch, wire::StoreRevision revision);
+  void handle_malformed(Batch&& batch);
   double shrink_limits(const Batch& batch);
-  void resolve_unknown_outcome(Batch batch, bool cache_is_current);
+  void resolve_unknown_outcome(Batch&& batch, bool cache_is_current);
   bool is_settled(const std::string& key, const PendingWrite& write, bool cache_is_current) const;
   void requeue(const std::string& key, PendingWrite write);
 
--- a/src/storage/shared_records.hpp
+++ b/src/storage/shared_records.hpp
@@ -31,7 +31,7 @@
     open_.clear();
   }
   // Has the record written as it is by then; the callback follows once it is.
-  void store(const Name& name, state::FlushDelay delay, state::WriteCallback callback = {}) {
+  void store(const Name& name, state::FlushDelay delay, state::WriteCallback&& callback = {}) {
     writes_.store(key(name), std::nullopt, delay, std::move(callback));
   }
   // Writes a record again of which some items were found in another when it was adopted.
--- a/src/wire/frames.cpp
+++ b/src/wire/frames.cpp
@@ -50,9 +50,10 @@
   void operator()(const Hello& hello) {
     add(HelloBody{hello.incarnation, static_cast<std::uint16_t>(hello.node.size())}, hello.node);
   }
-  void operator()(const PeerStatus& beat) {
-    const auto state = beat.state_ok ? 1U | static_cast<unsigned>(beat.features) << 1U : 0U;
-    add(PeerStatusBody{beat.term, static_cast<std::uint8_t>(state), static_cast<std::uint8_t>(beat.leading)});
+  void operator()(const PeerStatus& status) {
+    const auto state = status.state_ok ? 1U | static_cast<unsigned>(status.features) << 1U : 0U;
+    add(PeerStatusBody{status.term, static_cast<std::uint8_t>(state),
+                       static_cast<std::uint8_t>(status.leading)});
   }
   void operator()(const RelayedRequest& call) {
     add(RelayedRequestBody{call.id, static_cast<std::uint8_t>(call.post),
@@ -158,7 +159,7 @@
   return true;
 }
 
-std::optional<Frame> read_reports(Cursor& cursor) {
+std::optional<Frame> read_heartbeats(Cursor& cursor) {
   BatchBody bundle;
   if (!cursor.read(bundle)) return std::nullopt;
   ForwardedHeartbeats heartbeats;
@@ -178,7 +179,7 @@
   return heartbeats;
 }
 
-std::optional<Frame> read_rulings(Cursor& cursor) {
+std::optional<Frame> read_heartbeat_responses(Cursor& cursor) {
   BatchBody bundle;
   if (!cursor.read(bundle)) return std::nullopt;
   HeartbeatResponses responses;
@@ -205,8 +206,17 @@
 }
 
 // The type in a frame's header: its place in the variant.
-enum class FrameType : std::uint8_t { hello, beat, call, answer, progress, load, reports, rulings };
-static_assert(std::variant_size_v<Frame> == static_cast<std::size_t>(FrameType::rulings) + 1);
+enum class FrameType : std::uint8_t {
+  hello,
+  peer_status,
+  relayed_request,
+  relayed_response,
+  job_progress,
+  controller_load,
+  heartbeats,
+  heartbeat_responses
+};
+static_assert(std::variant_size_v<Frame> == static_cast<std::size_t>(FrameType::heartbeat_responses) + 1);
 
 std::optional<Frame> read_hello(Cursor& cursor) {
   HelloBody body;
@@ -216,14 +226,14 @@
   return hello;
 }
 
-std::optional<Frame> read_beat(Cursor& cursor) {
+std::optional<Frame> read_peer_status(Cursor& cursor) {
   PeerStatusBody body;
   if (!cursor.read(body)) return std::nullopt;
   return PeerStatus{body.term, body.state_ok != 0, body.leading != 0,
                     static_cast<std::uint8_t>(body.state_ok >> 1U)};
 }
 
-std::optional<Frame> read_call(Cursor& cursor) {
+std::optional<Frame> read_relayed_request(Cursor& cursor) {
   RelayedRequestBody body;
   RelayedRequest call;
   if (!cursor.read(body) || !cursor.read(call.path, body.path_length) ||
@@ -234,7 +244,7 @@
   return call;
 }
 
-std::optional<Frame> read_answer(Cursor& cursor) {
+std::optional<Frame> read_relayed_response(Cursor& cursor) {
   RelayedResponseBody body;
   RelayedResponse answer;
   if (!cursor.read(body) || !cursor.read(answer.body, body.body_length)) return std::nullopt;
@@ -268,20 +278,20 @@
   switch (static_cast<FrameType>(type)) {
     case FrameType::hello:
       return read_hello(cursor);
-    case FrameType::beat:
-      return read_beat(cursor);
-    case FrameType::call:
-      return read_call(cursor);
-    case FrameType::answer:
-      return read_answer(cursor);
-    case FrameType::progress:
+    case FrameType::peer_status:
+      return read_peer_status(cursor);
+    case FrameType::relayed_request:
+      return read_relayed_request(cursor);
+    case FrameType::relayed_response:
+      return read_relayed_response(cursor);
+    case FrameType::job_progress:
       return read_progress(cursor);
-    case FrameType::load:
+    case FrameType::controller_load:
       return read_load(cursor);
-    case FrameType::reports:
-      return read_reports(cursor);
-    case FrameType::rulings:
-      return read_rulings(cursor);
+    case FrameType::heartbeats:
+      return read_heartbeats(cursor);
+    case FrameType::heartbeat_responses:
+      return read_heartbeat_responses(cursor);
   }
   return std::nullopt;
 }
