--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -148,7 +148,7 @@
   void end_term();
   void learn_job(const state::Change& change);
   void learn_partial(const wire::JobId& id, const state::Change& change);
-  // Waiting jobs (pipelines.cpp)
+  // Waiting jobs (dependencies.cpp)
   model::DependencyInfo dependency_info(const model::Job& job) const;
   model::DependencyInfo dependency_info_of(const wire::JobId& id) const;
   void add_dependencies(model::Job& job);
@@ -180,7 +180,7 @@
       const std::string& name) const;  // nothing if the catalogue lacks it
   void set_capacity(model::Machine& machine) const;
 
-  // Stored records (pending writes.cpp): what the write coalescer asks
+  // Stored records (records.cpp): what the write coalescer asks
   bool may_write() const override;
   wire::KeyRevision expected_revision(const std::string& key) const override;
   bool is_final(const std::string& key) const override;
@@ -193,7 +193,7 @@
   void drop_stray_record(const std::string& key);
   bool is_stray(const std::string& key) const;
 
-  // Machines and their heartbeats (reports.cpp)
+  // Machines and their heartbeats (heartbeats.cpp)
   void probe_unregistered(const wire::Heartbeat& heartbeat);
   void register_machine(const wire::Heartbeat& heartbeat);
   void on_machine_up(model::Machine& machine, const wire::Heartbeat& heartbeat, bool expected);
@@ -272,7 +272,7 @@
   void stop_victims(const PreemptionCandidate& chosen, const model::Job& job);
   bool crowded(const model::Machine& machine, const model::Job& job) const;
 
-  // Replicas that span machines (replicas.cpp)
+  // Replicas that span machines (gangs.cpp)
   using CommandsByMachine = std::map<wire::MachineId, std::vector<wire::Command>>;
   void track_gang(const model::Job& job);
   void follow_policy();
@@ -285,7 +285,7 @@
   void on_gang_machine_draining(const model::Machine& machine);
   void on_gang_machine_failed(const model::Machine& machine);
 
-  // Fleet (fleet.cpp)
+  // Machines (machines.cpp)
   void plan_soon() { autoscaler_.plan_soon(); }
   Autoscaler::Settings autoscaler_settings() const;
   Autoscaler::Ports autoscaler_ports();
--- a/src/state/key_fetcher.cpp
+++ b/src/state/key_fetcher.cpp
@@ -32,7 +32,7 @@
   }
 }
 
-void KeyFetcher::refused(std::shared_ptr<Pending> pending) {
+void KeyFetcher::refused(const std::shared_ptr<Pending>& pending) {
   const double wait = kAgainS * static_cast<double>(1 << std::min(pending->refused++, kDoublings));
   later_.insert(pending);
   // A plain pointer: the timer is the pending read's own.
--- a/src/state/key_fetcher.hpp
+++ b/src/state/key_fetcher.hpp
@@ -33,7 +33,7 @@
     runtime::Timer again;
   };
   void next();
-  void refused(std::shared_ptr<Pending> pending);
+  void refused(const std::shared_ptr<Pending>& pending);
 
   Store& store_;
   std::deque<std::shared_ptr<Pending>> waiting_;
--- a/src/storage/shared_records.hpp
+++ b/src/storage/shared_records.hpp
@@ -114,7 +114,7 @@
     make(fresh).pool = pool;
     open_records.insert(fresh);
   }
-  const Name name = *open_records.begin();
+  Name name = *open_records.begin();
   auto& record = records_.at(name);
   hold(record, item, bytes);
   if (record.bytes + bytes > record_limit()) open_records.erase(name);
