--- a/tests/sim/check_tasks.cpp
+++ b/tests/sim/check_tasks.cpp
@@ -1,4 +1,6 @@
 // Rules on where and when tasks run: limits, places, replicas that span machines.
+#include <fmt/format.h>
+
 #include <algorithm>
 
 #include "sim/controller.hpp"
@@ -30,8 +32,7 @@
       if (!other.on(task, world_.now(), world_.settings().lease_s)) continue;
       const auto& its = world_.jobs().at(task.job.value).spec;
       cores[its.team] += its.request.cores;
-      if (its.team == spec.team)
-        held += " " + task.text() + "@" + host + "=" + std::to_string(its.request.cores);
+      if (its.team == spec.team) held += fmt::format(" {}@{}={:f}", task.text(), host, its.request.cores);
       if (task.job == task_id.job) ++zones[other.zone];
       if (task == task_id && host != machine.id)
         violate("ran_twice", task_id.text() + " on " + host + " and " + machine.id);
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -1,4 +1,5 @@
 // Records that many machines or tasks share, over a write coalescer and nothing else.
+#include <fmt/format.h>
 #include <gtest/gtest.h>
 
 #include "manual_loop.hpp"
@@ -147,7 +148,7 @@
 TEST_F(StorageTest, AFullRecordTakesNoMoreMachines) {
   const auto bytes = wire::group_bytes({"m100"}, "10.0.0.1:9000");
   const auto fitting = kValueBytes / 2 / bytes;
-  for (std::size_t i = 0; i <= fitting; ++i) groups.add(machine("m" + std::to_string(100 + i)), {});
+  for (std::size_t i = 0; i <= fitting; ++i) groups.add(machine(fmt::format("m{}", 100 + i)), {});
   commit_all();
   EXPECT_EQ(stored_machines("7-1").size(), fitting);
   EXPECT_EQ(stored_machines("7-2").size(), 1U);
@@ -193,8 +194,8 @@
 TEST_F(StorageTest, MachinesBeyondASmallerLimitAreWrittenElsewhereBeforeTheyLeave) {
   std::set<std::string> all;
   for (int i = 100; i < 140; ++i) {
-    groups.add(machine("m" + std::to_string(i)), {});
-    all.insert("m" + std::to_string(i));
+    groups.add(machine(fmt::format("m{}", i)), {});
+    all.insert(fmt::format("m{}", i));
   }
   commit_all();
   ASSERT_EQ(stored_machines("7-1"), all);
@@ -297,7 +298,7 @@
   std::vector<model::Job*> live;
   std::uint64_t number = 0;
   for (int i = 0; i < 8; ++i) {
-    auto& made = job("job-" + std::to_string(i), 600);
+    auto& made = job(fmt::format("job-{}", i), 600);
     made.set_mark(kDoneTask, model::kDone);
     number = bitmaps.record_of(made, 0);
     live.push_back(&made);
@@ -339,7 +340,7 @@
 }
 
 TEST_F(StorageTest, AMoveThatIsUnderWayWhenTheTermEndsIsForgotten) {
-  for (int i = 100; i < 140; ++i) groups.add(machine("m" + std::to_string(i)), {});
+  for (int i = 100; i < 140; ++i) groups.add(machine(fmt::format("m{}", i)), {});
   commit_all();
   shrink_value_limit();
   groups.remove(*fleet.find({"m100"}));
--- a/tests/write_coalescer_test.cpp
+++ b/tests/write_coalescer_test.cpp
@@ -1,6 +1,7 @@
 // Pending writes, built alone: order, batches, conditions, and what follows a refusal or an unknown outcome.
 #include "state/write_coalescer.hpp"
 
+#include <fmt/format.h>
 #include <gtest/gtest.h>
 
 #include "manual_loop.hpp"
@@ -168,7 +169,7 @@
 
 TEST_F(WriteCoalescerTest, AnUrgentKeyTakesAFewOthersAlongThoughTheLimitIsUsedUp) {
   spare_writes = 0;
-  for (int i = 0; i < 6; ++i) writes.store("k" + std::to_string(i), Json(i), FlushDelay::none);
+  for (int i = 0; i < 6; ++i) writes.store(fmt::format("k{}", i), Json(i), FlushDelay::none);
   turn();
   EXPECT_TRUE(commits.empty());
   owner.urgent_keys = {"awaited"};
@@ -181,7 +182,7 @@
 
 TEST_F(WriteCoalescerTest, ABatchKeepsToTheWritesAndBytesOfATransaction) {
   for (std::size_t i = 0; i < kTransactionWrites + 2; ++i)
-    writes.store("a" + std::to_string(100 + i), Json(1), FlushDelay::none);
+    writes.store(fmt::format("a{}", 100 + i), Json(1), FlushDelay::none);
   turn();
   EXPECT_EQ(written_keys().size(), kTransactionWrites);
   answer(Outcome::committed, 90);
@@ -324,7 +325,7 @@
 }
 
 TEST_F(WriteCoalescerTest, AMalformedBatchIsHalvedUntilTheWriteThatIsNotTakenStandsAlone) {
-  for (int i = 0; i < 8; ++i) writes.store("k" + std::to_string(i), Json(i), FlushDelay::none);
+  for (int i = 0; i < 8; ++i) writes.store(fmt::format("k{}", i), Json(i), FlushDelay::none);
   turn();
   for (const std::size_t expected : {8U, 4U, 2U, 1U}) {
     EXPECT_EQ(written_keys().size(), expected);
@@ -336,7 +337,7 @@
   EXPECT_EQ(writes.value_limit(), kValueBytes);
   EXPECT_EQ(written_keys(), std::vector<std::string>{"k1"});
   for (int i = 1; i < 8; ++i) {
-    EXPECT_EQ(written_keys(), std::vector<std::string>{"k" + std::to_string(i)});
+    EXPECT_EQ(written_keys(), std::vector<std::string>{fmt::format("k{}", i)});
     answer(Outcome::committed, 90 + static_cast<std::uint64_t>(i));
   }
   const auto sent = commits.size();
@@ -362,7 +363,7 @@
   answer(Outcome::invalid);
   EXPECT_EQ(writes.batch_limit(), 1U);
   for (int i = 0; i < 31; ++i) {
-    writes.store("next" + std::to_string(i), Json(1), FlushDelay::none);
+    writes.store(fmt::format("next{}", i), Json(1), FlushDelay::none);
     answer(Outcome::committed, 90 + static_cast<std::uint64_t>(i));
     EXPECT_EQ(writes.batch_limit(), 1U);
   }
