--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -14,7 +14,7 @@
   result.heartbeat_interval_s = settings.heartbeat_interval_s;
   result.control_interval_s = settings.control_interval_s;
   result.lease_s = settings.lease_s;
-  result.read_age_s = settings.cancel_budget().read_age_s();
+  result.max_read_age_s = settings.cancel_budget().max_read_age_s();
   result.gang_wait_s = settings.gang_wait_s;
   result.gang_peer_s = settings.gang_peer_s;
   result.replica_span = settings.span;
@@ -70,7 +70,7 @@
               },
               [this] {
                 return wire::PeerStatus{
-                    leader_.term(), gateway_.state_ok(), leader_.may_act(),
+                    leader_.term(), gateway_.state_ok(), leader_.is_active_leader(),
                     spread_workers_ ? wire::kFeatureHeartbeatForwarding : std::uint8_t{0}};
               },
               [this] { return desk_.load(); },
@@ -97,7 +97,7 @@
             {settings.host_name, settings.zone, settings.heartbeat_interval_s, settings.control_interval_s,
              static_cast<double>(settings.share_of_sockets(settings.own.worker_sockets)),
              settings.own.spread_workers},
-            {relay_, peers, [this] { return leader_.may_act(); },
+            {relay_, peers, [this] { return leader_.is_active_leader(); },
              [this](wire::Heartbeat heartbeat, std::uint64_t base, net::HeartbeatReply reply,
                     net::HeartbeatRoute via, const std::string& by) {
                leader_.tell(leader::HeartbeatReceived{std::move(heartbeat), base, std::move(reply), via, by});
@@ -108,11 +108,11 @@
     relay_.tell(net::Received{node, std::move(frame)});
   });
   // Before those who decide by it.
-  store_.subscribe([this](const state::Changes& changes) { follower_.tell(policy::Changed{changes}); });
-  store_.subscribe([this](const state::Changes& changes) { elector_.tell(election::Changed{changes}); });
-  store_.subscribe([this](const state::Changes& changes) { leader_.tell(leader::Changed{changes}); });
-  store_.subscribe([this](const state::Changes& changes) { desk_.tell(heartbeat::Changed{changes}); });
-  store_.subscribe([this](const state::Changes& changes) { gateway_.tell(gateway::Changed{changes}); });
+  store_.subscribe([this](const state::Changes& changes) { follower_.tell(policy::StoreChanged{changes}); });
+  store_.subscribe([this](const state::Changes& changes) { elector_.tell(election::StoreChanged{changes}); });
+  store_.subscribe([this](const state::Changes& changes) { leader_.tell(leader::StoreChanged{changes}); });
+  store_.subscribe([this](const state::Changes& changes) { desk_.tell(heartbeat::StoreChanged{changes}); });
+  store_.subscribe([this](const state::Changes& changes) { gateway_.tell(gateway::StoreChanged{changes}); });
 }
 
 void Node::start() {
--- a/src/app/node.hpp
+++ b/src/app/node.hpp
@@ -26,7 +26,7 @@
   void start();
   // Serves a request of a user, a worker or the load balancer.
   void handle(net::Request request, net::Reply reply) { route(std::move(request), std::move(reply), false); }
-  bool leading() const { return leader_.may_act(); }
+  bool leading() const { return leader_.is_active_leader(); }
   std::uint64_t term() const { return leader_.term(); }
   const policy::Policy& policy() const { return follower_.policy(); }
   // As this controller would decide on it; nothing: not known.
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -153,7 +153,7 @@
   };
   settings.gang_wait_s = or_leases("gang_wait_s", kGangWait);
   settings.gang_peer_s = or_leases("gang_peer_s", kGangPeer);
-  if (const auto budget = settings.cancel_budget(); !budget.holds())
+  if (const auto budget = settings.cancel_budget(); !budget.is_feasible())
     throw SettingsFieldError("cancel_s", "leaves too little beyond 'lease_s': " + budget.describe());
 }
 
--- a/src/cloud/cloud.hpp
+++ b/src/cloud/cloud.hpp
@@ -22,8 +22,8 @@
 
 constexpr std::size_t kMaxTerminations = 100;
 constexpr std::uint32_t kMaxMachinesPerRental = 50;
-constexpr std::size_t kPage = 500;    // machines of one page of the list
-constexpr double kLeastChargeS = 60;  // the protocol: a machine that is terminated costs at least this
+constexpr std::size_t kPage = 500;   // machines of one page of the list
+constexpr double kMinBillingS = 60;  // the protocol: a machine that is terminated costs at least this
 
 // Messages.
 struct GetCatalogue {
--- a/src/election/elector.cpp
+++ b/src/election/elector.cpp
@@ -59,7 +59,7 @@
 
 Json Elector::next_term() const { return Json{{"n", term().value_or(0) + 1}}; }
 
-void Elector::on(Changed& message) {
+void Elector::on(StoreChanged& message) {
   const bool led = leading();
   for (const auto& change : *message.changes)
     if (change.key == wire::kTermKey || change.key == wire::kLeaderKey) view_.apply(change);
--- a/src/election/elector.hpp
+++ b/src/election/elector.hpp
@@ -29,21 +29,21 @@
 };
 
 // Messages.
-struct Changed {
+struct StoreChanged {
   state::Changes changes;
 };
 struct RaiseTerm {};  // makes direct commands of the current term void
 struct Resign {};     // gives the leadership up, and leaves it to others for some time
 
 // Campaigns for this controller, renews its lease, and tells until when it may act.
-class Elector : public runtime::Actor<Elector, Changed, RaiseTerm, Resign> {
+class Elector : public runtime::Actor<Elector, StoreChanged, RaiseTerm, Resign> {
  public:
   Elector(runtime::Loop& loop, state::Store& store, runtime::Log log, std::string node,
           std::uint64_t incarnation, Timing timing, std::function<void(LeaseValidity)> on_validity,
           std::function<bool()> connected);
   void start();
 
-  void on(Changed& message);
+  void on(StoreChanged& message);
   void on(RaiseTerm& message);
   void on(Resign& message);
 
--- a/src/fair_share/quota_high_water.cpp
+++ b/src/fair_share/quota_high_water.cpp
@@ -61,12 +61,12 @@
   }
 }
 
-void QuotaHighWater::seen(const std::string& name, const Resources& request) {
+void QuotaHighWater::inherited_task_seen(const std::string& name, const Resources& request) {
   if (const auto team = teams_.find(name); team != teams_.end())
     team->second.seen = plus(team->second.seen, request);
 }
 
-Resources QuotaHighWater::unseen(const std::string& name, const Resources& unheard) const {
+Resources QuotaHighWater::max_unseen_usage(const std::string& name, const Resources& unheard) const {
   const auto team = teams_.find(name);
   if (team == teams_.end()) return {};
   return each(least(unheard, plus(team->second.inherited, team->second.seen, -1)), {},
@@ -103,8 +103,8 @@
           up(total.accelerators, team.step.accelerators, team.limit.accelerators), 0};
 }
 
-std::optional<wire::QuotaRecord> QuotaHighWater::next(const std::map<std::string, Resources>& used,
-                                                      std::uint64_t term, bool lower) {
+std::optional<wire::QuotaRecord> QuotaHighWater::next_record(const std::map<std::string, Resources>& used,
+                                                             std::uint64_t term, bool lower) {
   if (pending_) return std::nullopt;
   bool needed = committed_term_ != term || wanted_;
   wire::QuotaRecord record{term, {}};
@@ -124,7 +124,7 @@
   return record;
 }
 
-void QuotaHighWater::written() {
+void QuotaHighWater::record_stored() {
   if (!pending_) return;
   committed_term_ = pending_->term;
   for (auto& [name, team] : teams_) team.committed = pending_->teams[name];
--- a/src/fair_share/quota_high_water.hpp
+++ b/src/fair_share/quota_high_water.hpp
@@ -22,23 +22,23 @@
   // A term with the fencing token `term` begins. `record` is what earlier leaders left; it is believed only
   // if its term is the one before: else a leader came in between that may not know of bounds.
   void begin_term(const std::optional<wire::QuotaRecord>& record, std::uint64_t term);
-  bool believed() const { return believed_; }
+  bool is_record_trusted() const { return believed_; }
 
   // A task that an earlier leader started was seen on a machine: from here on it is counted where it is used.
-  void seen(const std::string& team, const wire::Resources& request);
+  void inherited_task_seen(const std::string& team, const wire::Resources& request);
   // What earlier leaders' tasks that were not seen may hold of the team at most, where `unheard` is the size
   // of all machines that they may run on.
-  wire::Resources unseen(const std::string& team, const wire::Resources& unheard) const;
+  wire::Resources max_unseen_usage(const std::string& team, const wire::Resources& unheard) const;
 
   // Whether the team may come to use `total` now (earlier leaders' tasks included) under the fencing token
   // `term`. If not, or not for long, a higher bound is remembered as wanted.
   bool covers(const std::string& team, const wire::Resources& total, std::uint64_t term);
 
   // The record to write now, if one is needed. `used`: what each team uses at most, not seen tasks included;
-  // `lower`: whether this is the time to lower bounds. One is under way at a time, until written().
-  std::optional<wire::QuotaRecord> next(const std::map<std::string, wire::Resources>& used,
-                                        std::uint64_t term, bool lower);
-  void written();
+  // `lower`: whether this is the time to lower bounds. One is under way at a time, until record_stored().
+  std::optional<wire::QuotaRecord> next_record(const std::map<std::string, wire::Resources>& used,
+                                               std::uint64_t term, bool lower);
+  void record_stored();
   bool wanted() const { return wanted_; }
 
  private:
--- a/src/fair_share/retry_after_pacer.cpp
+++ b/src/fair_share/retry_after_pacer.cpp
@@ -15,8 +15,8 @@
 double RetryAfterPacer::retry_after_s(double now, const std::string& name, double chance) {
   // Whoever does not come here at its time came elsewhere, or gave up: counted on, the same one was waited
   // for by every controller, all were told up to 30 s, and a tenth of them gave up although puts were left.
-  while (!due_.empty() && due_.begin()->first < now) served(std::string(due_.begin()->second));
-  served(name);
+  while (!due_.empty() && due_.begin()->first < now) request_served(std::string(due_.begin()->second));
+  request_served(name);
   // Told one second each, 850 first submissions asked 8,000 times in vain.
   const double all_s = static_cast<double>(waiting_.size() + 1) / settings_.rate;
   const double wait_s = std::min(settings_.most_s, kLeastS + std::floor(chance * kSpread * all_s));
@@ -27,7 +27,7 @@
   return wait_s;
 }
 
-void RetryAfterPacer::served(const std::string& name) {
+void RetryAfterPacer::request_served(const std::string& name) {
   const auto found = waiting_.find(name);
   if (found == waiting_.end()) return;
   due_.erase({found->second, name});
--- a/src/fair_share/retry_after_pacer.hpp
+++ b/src/fair_share/retry_after_pacer.hpp
@@ -21,7 +21,7 @@
 
   // Whole seconds, 1 or more, until this one is to come back; `chance` is random, from 0 to below 1.
   double retry_after_s(double now, const std::string& name, double chance);
-  void served(const std::string& name);
+  void request_served(const std::string& name);
   std::size_t waiting() const { return waiting_.size(); }
 
  private:
--- a/src/gang/gang_fit.cpp
+++ b/src/gang/gang_fit.cpp
@@ -66,18 +66,18 @@
   Taken taken(fleet, spec.request);
   for (const bool reclaimable : {false, true}) {
     if (reclaimable && !spec.allows_preemptible) break;
-    Fleet::Choice choice{spec,
-                         reclaimable,
-                         true,
-                         search.fetch_s,
-                         [](const model::Pool&) { return 0.0; },
-                         [&](const Machine& machine) {
-                           return !chosen.contains(machine.id) && !search.avoid.contains(machine.id) &&
-                                  search.suits(machine);
-                         },
-                         false};
+    Fleet::MachineQuery choice{spec,
+                               reclaimable,
+                               true,
+                               search.fetch_s,
+                               [](const model::Pool&) { return 0.0; },
+                               [&](const Machine& machine) {
+                                 return !chosen.contains(machine.id) && !search.avoid.contains(machine.id) &&
+                                        search.suits(machine);
+                               },
+                               false};
     while (result.spots.size() < search.count) {
-      auto* machine = fleet.pick(choice);
+      auto* machine = fleet.find_best(choice);
       if (machine == nullptr) break;
       add(*machine);
       taken.add(*machine);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -51,7 +51,7 @@
       retry_after_(
           {std::max(1.0, users_writes(store.limits()) / static_cast<double>(store.limits().controllers))}),
       jobs_(loop, log_, store, final_states_kept,
-            [this](const JobId& id) { retry_after_.served(id.value); }) {}
+            [this](const JobId& id) { retry_after_.request_served(id.value); }) {}
 
 bool Gateway::state_ok() const { return store_.synced() && store_.silence() < kStateSilenceS; }
 
@@ -66,7 +66,7 @@
   return relay_.all_peers() || (relay_.any_peer() && store_.silence() < kCutOffS);
 }
 
-void Gateway::on(Changed& message) { jobs_.apply(*message.changes); }
+void Gateway::on(StoreChanged& message) { jobs_.apply(*message.changes); }
 
 void Gateway::on(Progressed& message) { jobs_.update_progress(std::move(message.progress)); }
 
@@ -269,7 +269,7 @@
                                      [this](const JobId& need) { return jobs_.is_cancelled(need); });
   // Invariant 15: what one of them waits for may have been cancelled long ago and not be known here.
   const bool doubt = std::any_of(spec.depends_on.begin(), spec.depends_on.end(), [this](const JobId& need) {
-    return jobs_.dependencies().maybe_cancelled(need);
+    return jobs_.dependencies().may_be_cancelled(need);
   });
   if (!cancelled && doubt) return answer_known(submission.call, spec.id);
   submission.call->reply(responses::accepted(spec.id, cancelled));
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -26,7 +26,7 @@
 // Messages.
 
 // The state service published changes.
-struct Changed {
+struct StoreChanged {
   state::Changes changes;
 };
 // A user asks.
@@ -41,13 +41,13 @@
 };
 
 // The actor that answers users.
-class Gateway : public runtime::Actor<Gateway, Changed, UserRequest, Progressed> {
+class Gateway : public runtime::Actor<Gateway, StoreChanged, UserRequest, Progressed> {
  public:
   // `policy`: in force at any time.
   Gateway(runtime::Loop& loop, runtime::Log log, state::Store& store, net::Relay& relay,
           const policy::Policy& policy, std::vector<TeamLimit> teams, std::size_t final_states_kept);
 
-  void on(Changed& message);
+  void on(StoreChanged& message);
   void on(UserRequest& message);
   void on(Progressed& message);
 
--- a/src/gateway/job_index.cpp
+++ b/src/gateway/job_index.cpp
@@ -30,16 +30,16 @@
 }
 
 bool JobIndex::surely_accepted(const JobId& id) const {
-  return jobs_.contains(id) || dependencies_.accepted(id);
+  return jobs_.contains(id) || dependencies_.was_accepted(id);
 }
 
 bool JobIndex::is_over(const JobId& id, const KnownJob& job) const {
-  return job.state != JobState::accepted || dependencies_.cancelled(id);
+  return job.state != JobState::accepted || dependencies_.is_cancelled(id);
 }
 
 bool JobIndex::is_cancelled(const JobId& id) const {
   const auto* job = find(id);
-  return dependencies_.cancelled(id) || (job != nullptr && job->state == JobState::cancelled);
+  return dependencies_.is_cancelled(id) || (job != nullptr && job->state == JobState::cancelled);
 }
 
 void JobIndex::apply(const std::vector<state::Change>& changes) {
@@ -122,7 +122,7 @@
 }
 
 void JobIndex::update_dependencies(const JobId& id, const model::DependencyInfo& fact) {
-  dependencies_.learn(id, fact);
+  dependencies_.update(id, fact);
   dependencies_.take_updates();  // what has become of a job is asked when its user asks
 }
 
@@ -172,7 +172,7 @@
     learn_if_final(id, *entry);
     return forget_oldest();
   }
-  dependencies_.learn(id, model::missing_dependency());
+  dependencies_.update(id, model::missing_dependency());
   log_->warn("job {}: is waited for and has no record", id.value);
 }
 
@@ -203,7 +203,7 @@
     return fetch(id, done);
   }
   // A job that it depends on may have been cancelled long ago: not known is not "no".
-  if (dependencies_.maybe_cancelled(id) || job->phase_unknown) return done({LookupStatus::unavailable});
+  if (dependencies_.may_be_cancelled(id) || job->phase_unknown) return done({LookupStatus::unavailable});
   done({LookupStatus::found, job});
 }
 
--- a/src/gateway/job_status.cpp
+++ b/src/gateway/job_status.cpp
@@ -24,9 +24,9 @@
 // The job where the pipeline above `id` stands: it depends on nothing that is not done.
 JobId blocking_job(const JobIndex& jobs, JobId id) {
   const auto& dependencies = jobs.dependencies();
-  for (int step = 0; step < kMaxPipelineSteps && !dependencies.ready(id); ++step) {
+  for (int step = 0; step < kMaxPipelineSteps && !dependencies.is_ready(id); ++step) {
     std::size_t count = 0;
-    const auto open = dependencies.open_dependencies(id, 1, count);
+    const auto open = dependencies.unmet_dependencies(id, 1, count);
     if (open.empty()) break;
     id = open.front();
   }
@@ -47,7 +47,7 @@
 // What it depends on, and why the job where its pipeline stands is not done.
 Json waiting_status(const JobIndex& jobs, const JobId& id) {
   std::size_t count = 0;
-  const auto open = jobs.dependencies().open_dependencies(id, kNamedDependencies, count);
+  const auto open = jobs.dependencies().unmet_dependencies(id, kNamedDependencies, count);
   auto status = counted(id, "queued", 0, 0);
   status["waits_on"] = Json::array();
   for (const auto& dependency : open) status["waits_on"].push_back(dependency.value);
@@ -67,9 +67,9 @@
 }  // namespace
 
 Json job_status(const JobIndex& jobs, const JobId& id, const KnownJob& job) {
-  switch (jobs.dependencies().cancelled(id) ? JobState::cancelled : job.state) {
+  switch (jobs.dependencies().is_cancelled(id) ? JobState::cancelled : job.state) {
     case JobState::accepted:
-      return jobs.dependencies().ready(id) ? live_status(id, job) : waiting_status(jobs, id);
+      return jobs.dependencies().is_ready(id) ? live_status(id, job) : waiting_status(jobs, id);
     case JobState::done:
       return counted(id, "done", job.task_count, 0);
     case JobState::cancelled:
--- a/src/heartbeat/heartbeat_endpoint.cpp
+++ b/src/heartbeat/heartbeat_endpoint.cpp
@@ -57,7 +57,7 @@
 
 void HeartbeatEndpoint::start() { maintain(); }
 
-void HeartbeatEndpoint::on(Changed& message) {
+void HeartbeatEndpoint::on(StoreChanged& message) {
   for (const auto& change : *message.changes) {
     if (change.key != wire::kLeaderKey) continue;
     leader_.clear();
--- a/src/heartbeat/heartbeat_endpoint.hpp
+++ b/src/heartbeat/heartbeat_endpoint.hpp
@@ -21,7 +21,7 @@
 namespace bankhill::heartbeat {
 
 // Messages.
-struct Changed {
+struct StoreChanged {
   state::Changes changes;
 };
 struct HeartbeatRequest {
@@ -43,7 +43,8 @@
   bool forwards_heartbeats = true;  // takes part in delegation
 };
 
-class HeartbeatEndpoint : public runtime::Actor<HeartbeatEndpoint, Changed, HeartbeatRequest, PeerMessage> {
+class HeartbeatEndpoint
+    : public runtime::Actor<HeartbeatEndpoint, StoreChanged, HeartbeatRequest, PeerMessage> {
  public:
   struct Ports {
     net::Relay& relay;
@@ -58,7 +59,7 @@
   HeartbeatEndpoint(runtime::Loop& loop, runtime::Log log, HeartbeatSettings settings, Ports ports);
   void start();
 
-  void on(Changed& message);
+  void on(StoreChanged& message);
   void on(HeartbeatRequest& message);
   void on(PeerMessage& message);
 
--- a/src/leader/autoscaler.cpp
+++ b/src/leader/autoscaler.cpp
@@ -7,7 +7,7 @@
 
 using model::Job;
 using model::Machine;
-using queue::task_s;
+using queue::estimated_runtime_s;
 
 namespace {
 constexpr double kPlanGap = 0.3;         // control intervals between two plans made on events
@@ -27,7 +27,7 @@
 }
 
 // Services that are over count too: a new leader knows from the first how many come.
-void Autoscaler::service_accepted(const Job& job) {
+void Autoscaler::on_service_accepted(const Job& job) {
   service_demand_.add(job.accepted_at, job.spec.request.cores, job.spec.task_count);
   if (!view_.machine_types.empty()) service_demand_.forget_before(loop_.wall() - demand_window_s());
 }
@@ -43,7 +43,7 @@
 }
 
 void Autoscaler::plan() {
-  if (!ports_.may_act() || view_.machine_types.empty()) return;
+  if (!ports_.is_active_leader() || view_.machine_types.empty()) return;
   last_plan_ = loop_.now();
   const auto offers = current_offers();
   const auto demand = current_demand();
@@ -65,8 +65,8 @@
   rent_missing(missing.steady, false, offers);
 
   const double lacking_preemptible = demand.tasks_wait ? 0 : std::max(0.0, missing.preemptible);
-  ports_.note_overload(wanted.steady + wanted.preemptible,
-                       std::max(0.0, missing.steady) + lacking_preemptible);
+  ports_.report_core_demand(wanted.steady + wanted.preemptible,
+                            std::max(0.0, missing.steady) + lacking_preemptible);
   set_excess(missing.steady);
   if (missing.steady <= 0 && missing.preemptible <= 0) rent_for_stranded_jobs(offers);
   ports_.rent_for_gangs(offers);
@@ -86,7 +86,7 @@
   double tasks = 0;
   for (const auto& [id, job] : view_.live_jobs) {
     if (job->is_service()) continue;
-    task_seconds += task_s(*job) * job->spec.task_count;
+    task_seconds += estimated_runtime_s(*job) * job->spec.task_count;
     tasks += job->spec.task_count;
   }
   if (tasks == 0) return true;
@@ -101,17 +101,18 @@
     auto work = work_of(*job);
     limit_to_quota(work, job->spec.team, planned_cores);
     demand.tasks_wait = demand.tasks_wait || ports_.placeable_tasks(*job) > 0;
-    if (work.tasks > 0) demand.work.push_back(std::move(work));
+    if (work.task_count > 0) demand.work.push_back(std::move(work));
   }
   add_service_reserve(demand.work);
   return demand;
 }
 
-planner::Work Autoscaler::work_of(const Job& job) const {
-  planner::Work work;
+planner::Workload Autoscaler::work_of(const Job& job) const {
+  planner::Workload work;
   work.request = job.spec.request;
-  work.tasks = std::max(0.0, 1.0 * job.unfinished() - (job.ready - ports_.placeable_tasks(job)));
-  work.task_s = std::max(1.0, task_s(job));
+  work.task_count =
+      std::max(0.0, 1.0 * job.unfinished_tasks() - (job.ready_count - ports_.placeable_tasks(job)));
+  work.task_s = std::max(1.0, estimated_runtime_s(job));
   // The period in which the work should be done. Estimates are often wrong by half: part of the time that is
   // left is kept in reserve.
   work.window_s = std::max(work.task_s, kWindowShare * view_.queue.time_to_deadline(job, loop_.wall()));
@@ -124,23 +125,24 @@
 }
 
 // Tasks beyond the team's limit cannot run at the same time.
-void Autoscaler::limit_to_quota(planner::Work& work, const std::string& team,
+void Autoscaler::limit_to_quota(planner::Workload& work, const std::string& team,
                                 std::map<std::string, double>& planned_cores) const {
   const auto limit = ports_.core_limit(team);
   if (!limit) return;
   auto& planned = planned_cores[team];
-  work.tasks = std::min(work.tasks, std::max(0.0, std::floor((*limit - planned) / work.request.cores)));
-  planned += work.tasks * work.request.cores;
+  work.task_count =
+      std::min(work.task_count, std::max(0.0, std::floor((*limit - planned) / work.request.cores)));
+  planned += work.task_count * work.request.cores;
 }
 
 // A service starts at once only where room and image are at hand: about what comes within a short while.
-void Autoscaler::add_service_reserve(std::vector<planner::Work>& work) {
+void Autoscaler::add_service_reserve(std::vector<planner::Workload>& work) {
   reserved_cores_ = service_demand_.reserve(loop_.wall(), demand_window_s(),
                                             kReserveIntervals * settings_.control_interval_s);
   if (reserved_cores_ <= 0) return;
-  planner::Work reserve;
+  planner::Workload reserve;
   reserve.request.cores = service_demand_.largest_task_cores();
-  reserve.tasks = reserved_cores_ / reserve.request.cores;
+  reserve.task_count = reserved_cores_ / reserve.request.cores;
   reserve.task_s = reserve.window_s = 1;
   reserve.service = true;
   work.push_back(std::move(reserve));
@@ -163,7 +165,7 @@
 // Of machines that are up, that are coming and that are requested.
 Autoscaler::Cores Autoscaler::present_cores() const {
   Cores present;
-  for (const auto& [pool, state] : view_.fleet.pools()) present.of(pool.preemptible) += state.sums.cores;
+  for (const auto& [pool, state] : view_.fleet.pools()) present.of(pool.preemptible) += state.totals.cores;
   view_.rentals.visit_requested([&](const wire::RentalRecord& requested) {
     if (const auto* type = machine_type(requested.machine_type))
       present.of(requested.preemptible) += type->capacity.cores * requested.count;
@@ -198,14 +200,14 @@
   for (const auto& [id, job] : view_.queue.jobs()) {
     if (ports_.is_gang(id) || !ports_.may_start(*job) || !ports_.quota_allows(*job)) continue;
     if (can_take_its_time(*job) || machine_at_hand(*job)) continue;
-    planner::Work work;
+    planner::Workload work;
     work.request = job->spec.request;
     work.machine_types = job->spec.machine_types;
     work.zone = job->spec.zone;
-    const auto preferred = planner::preferred(work, offers);
+    const auto preferred = planner::choose_offer(work, offers);
     if (!preferred || earned[*preferred]) continue;
     earned[*preferred] = true;
-    if (view_.rentals.any_requested()) continue;
+    if (view_.rentals.has_pending_rental()) continue;
     const auto& type = offers[smallest_that_holds(work, offers, *preferred)].machine_type;
     // Elsewhere none is of use to it.
     view_.rentals.request(type, false, 1, job->spec.zone.value_or(""));
@@ -217,12 +219,12 @@
 bool Autoscaler::can_take_its_time(const Job& job) const {
   if (!view_.queue.cutoff(job) || !job.failed_on.empty()) return false;
   const double due = view_.queue.time_to_deadline(job, loop_.wall());
-  const double needed = task_s(job) + planner::longest_boot_s(view_.machine_types);
+  const double needed = estimated_runtime_s(job) + planner::longest_boot_s(view_.machine_types);
   if (std::isinf(due) || kWindowShare * due < needed) return false;
   const auto& pools = view_.fleet.pools();
   return std::any_of(pools.begin(), pools.end(), [&](const auto& entry) {
     const auto& [pool, state] = entry;
-    return state.sums.up + state.sums.booting > 0 && model::allows(job.spec, pool) &&
+    return state.totals.up + state.totals.booting > 0 && model::allows(job.spec, pool) &&
            job.spec.request.fits(state.capacity);
   });
 }
@@ -233,16 +235,16 @@
   return std::any_of(pools.begin(), pools.end(), [&](const auto& entry) {
     const auto& [pool, state] = entry;
     if (!model::allows(job.spec, pool)) return false;
-    if (state.sums.booting + state.sums.joining > 0 && job.spec.request.fits(state.capacity)) return true;
+    if (state.totals.booting + state.totals.joining > 0 && job.spec.request.fits(state.capacity)) return true;
     // A machine that its tasks failed on takes no more of it: where all have, it waited for ever.
-    const auto* roomiest = state.open.empty() ? nullptr : state.open.rbegin()->machine;
+    const auto* roomiest = state.free_slots.empty() ? nullptr : state.free_slots.rbegin()->machine;
     return roomiest != nullptr && job.spec.request.fits(roomiest->available()) &&
            !job.failed_on.contains(roomiest->id);
   });
 }
 
 // Smallest type that holds a task, since one task is all that is known to need it.
-std::size_t Autoscaler::smallest_that_holds(const planner::Work& work, const Offers& offers,
+std::size_t Autoscaler::smallest_that_holds(const planner::Workload& work, const Offers& offers,
                                             std::size_t preferred) {
   std::size_t smallest = preferred;
   for (std::size_t i = 0; i < offers.size(); ++i) {
@@ -261,7 +263,7 @@
 void Autoscaler::set_excess(double missing_steady_cores) {
   double idle_preemptible = 0;
   for (const auto& [pool, state] : view_.fleet.pools())
-    if (pool.preemptible) idle_preemptible += state.sums.free_cores;
+    if (pool.preemptible) idle_preemptible += state.totals.free_cores;
   for (const auto& machine_id : excess_machines_) {
     const auto* machine = view_.fleet.peek(machine_id);
     if (!machine->terminating) idle_preemptible -= machine->capacity.cores;
@@ -274,7 +276,7 @@
   while (missing_steady_cores > kRounding && !excess_machines_.empty()) {
     auto* machine = view_.fleet.find(*excess_machines_.begin());
     excess_machines_.erase(excess_machines_.begin());
-    if (machine->terminating || !ports_.use_again(*machine, kExcessReason)) continue;
+    if (machine->terminating || !ports_.cancel_drain(*machine, kExcessReason)) continue;
     machine->idle_since = loop_.now();
     missing_steady_cores -= machine->capacity.cores;
     ports_.count_event("surplus machines wanted again");
@@ -285,7 +287,7 @@
   if (machine.preemptible || machine.capacity.cores > excess_cores_ || machine.service_cores > 0 ||
       machine.reserved.cores > 0)
     return;
-  if (!machine.takes_tasks() || loop_.now() - machine.first_seen < cloud::kLeastChargeS) return;
+  if (!machine.takes_tasks() || loop_.now() - machine.first_seen < cloud::kMinBillingS) return;
   excess_cores_ -= machine.capacity.cores;
   ports_.drain(machine, kExcessReason);
   excess_machines_.insert(machine.id);
@@ -295,7 +297,7 @@
 bool Autoscaler::terminate_if_idle(Machine& machine) {
   const double now = loop_.now();
   if (!machine.takes_tasks() || !machine.assignments.empty() || machine.reserved.cores > 0) return false;
-  if (now - machine.idle_since < idle_limit_s(machine) || now - machine.first_seen < cloud::kLeastChargeS)
+  if (now - machine.idle_since < idle_limit_s(machine) || now - machine.first_seen < cloud::kMinBillingS)
     return false;
   view_.rentals.terminate(machine, "idle");
   return true;
--- a/src/leader/autoscaler.hpp
+++ b/src/leader/autoscaler.hpp
@@ -44,17 +44,17 @@
 
   // What it needs of the leader.
   struct Ports {
-    std::function<bool()> may_act;                                    // invariant 2
+    std::function<bool()> is_active_leader;                           // invariant 2
     std::function<bool(const model::Job&)> may_start;                 // now, its team's limit aside
     std::function<bool(const model::Job&)> quota_allows;              // one more task of it
     std::function<std::uint32_t(const model::Job&)> placeable_tasks;  // ready tasks that may be placed
     std::function<bool(const wire::JobId&)> is_gang;
     std::function<std::optional<double>(const std::string& team)> core_limit;  // nothing: an unknown team
     std::function<void(const std::vector<planner::Offer>&)> rent_for_gangs;
-    std::function<void(double wanted, double lacking)> note_overload;  // cores
+    std::function<void(double wanted, double lacking)> report_core_demand;  // cores
     std::function<void(model::Machine&, const std::string& reason)> drain;
     // Undoes that if it was for this reason; says whether it was.
-    std::function<bool(model::Machine&, const std::string& reason)> use_again;
+    std::function<bool(model::Machine&, const std::string& reason)> cancel_drain;
     std::function<void(const std::string& event)> count_event;  // for the summary in the log
   };
 
@@ -63,10 +63,10 @@
   void end_term();
 
   // What is known of demand and supply, whoever leads.
-  void service_accepted(const model::Job& job);
-  void machine_reclaimed(const std::string& machine_type) { spot_reclaims_.add_reclaim(machine_type); }
+  void on_service_accepted(const model::Job& job);
+  void on_machine_reclaimed(const std::string& machine_type) { spot_reclaims_.add_reclaim(machine_type); }
   // `passed_s` seconds have gone by; `remaining`: the part that earlier reclaims still count.
-  void advance(double passed_s, double remaining) {
+  void advance_reclaim_history(double passed_s, double remaining) {
     spot_reclaims_.advance(view_.fleet, passed_s, remaining);
   }
 
@@ -77,14 +77,14 @@
   void drain_if_excess(model::Machine& machine);
   // ... and returns it if it has been idle for long enough; says whether it did.
   bool terminate_if_idle(model::Machine& machine);
-  void machine_terminated(const wire::MachineId& machine_id) { excess_machines_.erase(machine_id); }
+  void on_machine_terminated(const wire::MachineId& machine_id) { excess_machines_.erase(machine_id); }
 
   // Cores of steady machines that are kept free of batch tasks for services to come.
   double reserved_cores() const { return reserved_cores_; }
 
  private:
   struct Demand {
-    std::vector<planner::Work> work;
+    std::vector<planner::Workload> work;
     bool tasks_wait = false;  // some task is ready and not placed
   };
   struct Cores {
@@ -100,10 +100,10 @@
   Offers current_offers() const;
   bool reclaim_share_allows(const std::string& machine_type) const;
   Demand current_demand();
-  planner::Work work_of(const model::Job& job) const;
-  void limit_to_quota(planner::Work& work, const std::string& team,
+  planner::Workload work_of(const model::Job& job) const;
+  void limit_to_quota(planner::Workload& work, const std::string& team,
                       std::map<std::string, double>& planned_cores) const;
-  void add_service_reserve(std::vector<planner::Work>& work);
+  void add_service_reserve(std::vector<planner::Workload>& work);
   double demand_window_s() const;
 
   // Scaling out.
@@ -113,7 +113,7 @@
   void rent_for_stranded_jobs(const Offers& offers);
   bool can_take_its_time(const model::Job& job) const;
   bool machine_at_hand(const model::Job& job) const;
-  static std::size_t smallest_that_holds(const planner::Work& work, const Offers& offers,
+  static std::size_t smallest_that_holds(const planner::Workload& work, const Offers& offers,
                                          std::size_t preferred);
 
   // Scaling in.
--- a/src/leader/dependencies.cpp
+++ b/src/leader/dependencies.cpp
@@ -8,7 +8,7 @@
 
 using model::DependencyInfo;
 using model::Job;
-using queue::task_s;
+using queue::estimated_runtime_s;
 using state::FlushDelay;
 
 namespace {
@@ -23,7 +23,7 @@
   fact.priority = job.spec.priority;
   if (job.spec.deadline_s) fact.deadline_at = job.accepted_at + *job.spec.deadline_s;
   if (job.cutoff) fact.deadline_at = std::min(fact.deadline_at, *job.cutoff);
-  fact.duration_s = kStageShare * task_s(job) + kStagePaces * settings_.control_interval_s;
+  fact.duration_s = kStageShare * estimated_runtime_s(job) + kStagePaces * settings_.control_interval_s;
   return fact;
 }
 
@@ -38,7 +38,7 @@
 }
 
 wire::Priority Leader::effective_priority(const Job& job) const {
-  return dependencies_.priority(job.spec.id, job.spec.priority);
+  return dependencies_.effective_priority(job.spec.id, job.spec.priority);
 }
 
 void Leader::add_dependencies(Job& job) {
@@ -66,13 +66,13 @@
   for (const auto& id : news.ready)
     if (const auto job = jobs_.find(id); job != jobs_.end()) release_job(job->second);
   for (const auto& id : news.cancelled)
-    if (const auto job = jobs_.find(id); job != jobs_.end()) end_unstarted(job->second);
+    if (const auto job = jobs_.find(id); job != jobs_.end()) cancel_unstarted_job(job->second);
   fetch_unknown_dependencies();
 }
 
 // Invariant 13: `done` of everything that it needs is committed.
 void Leader::release_job(Job& job) {
-  if (job.dependencies_met || !job.live()) return;
+  if (job.dependencies_met || !job.is_live()) return;
   job.dependencies_met = true;
   // Written by version 0.2.0 an end has no time.
   const double ended = dependencies_.ready_at(job.spec.id);
@@ -83,15 +83,15 @@
               loop().wall() - job.accepted_at);
   ++event_counts_["jobs released"];
   update_queue_membership(job);
-  place_soon();
+  schedule_placement();
   plan_soon();
 }
 
 // Invariant 14: one that it needs is cancelled. Nothing of it ever started; its record follows.
-void Leader::end_unstarted(Job& job) {
-  if (!job.live()) return;
+void Leader::cancel_unstarted_job(Job& job) {
+  if (!job.is_live()) return;
   job.dependency_cancelled = true;
-  remove_live(job);
+  remove_live_job(job);
   if (!is_leader_) return;
   log_->debug("job {}: cancelled with one that it waits for", job.spec.id.value);
   ++event_counts_["waiting jobs cancelled"];
@@ -106,15 +106,15 @@
       return;
     const auto job = jobs_.find(cancelled_dependents_.front());
     cancelled_dependents_.pop_front();
-    if (job == jobs_.end() || job->second.ended()) continue;
+    if (job == jobs_.end() || job->second.has_ended()) continue;
     writes_.store(wire::job_key(job->first),
-                  final_record_json(record_of(job->second), wire::JobState::cancelled, loop().wall(),
+                  final_record_json(make_job_record(job->second), wire::JobState::cancelled, loop().wall(),
                                     writes_.value_limit()),
                   FlushDelay::garbage);
   }
 }
 
-wire::JobRecord Leader::record_of(const Job& job) const {
+wire::JobRecord Leader::make_job_record(const Job& job) const {
   return {job.spec, job.state, job.accepted_at, job.ended_at, 0, job.cutoff};
 }
 
@@ -125,7 +125,7 @@
         wire::job_key(id), guard([this, id](const std::optional<state::Entry>& entry) {
           if (!entry) {
             log_->warn("job {}: is waited for and has no record", id.value);
-            return dependencies_.learn(id, model::missing_dependency());
+            return dependencies_.update(id, model::missing_dependency());
           }
           const auto record = ports_.store.parsed(wire::job_key(id), entry->revision,
                                                   [&entry] { return wire::parse_job_record(entry->data); });
@@ -134,12 +134,12 @@
                      : wire::parse_partial_job_record(entry->data).state.value_or(wire::JobState::accepted);
           auto found = model::dependency_info(phase, entry->revision);
           if (record) found.ended_at = record->ended_at;
-          dependencies_.learn(id, found);
+          dependencies_.update(id, found);
           apply_dependency_updates();
         })});
 }
 
-void Leader::drop_dependency_parts(const wire::JobId& id, std::uint32_t parts) {
+void Leader::delete_dependency_parts(const wire::JobId& id, std::uint32_t parts) {
   for (std::uint32_t part = 0; part < parts; ++part)
     writes_.store(wire::dependencies_key(id, part), std::nullopt, FlushDelay::garbage);
 }
@@ -150,7 +150,7 @@
        entry != cache_.entries().end() && entry->first.starts_with(wire::kDependencyKeyPrefix); ++entry) {
     const auto name = entry->first.substr(wire::kDependencyKeyPrefix.size());
     const auto job = jobs_.find(wire::JobId{name.substr(0, name.find('/'))});
-    if (job == jobs_.end() || job->second.ended())
+    if (job == jobs_.end() || job->second.has_ended())
       writes_.store(entry->first, std::nullopt, FlushDelay::garbage);
   }
 }
--- a/src/leader/gangs.cpp
+++ b/src/leader/gangs.cpp
@@ -32,10 +32,10 @@
 }
 
 // The policy may have changed: what runs stays, and is taken as found.
-void Leader::follow_policy() {
+void Leader::update_gang_spans() {
   if (!settings_.replica_span) return;
   const double now = loop().now();
-  for (auto& [id, job] : live_) {
+  for (auto& [id, job] : live_jobs_) {
     if (!job->is_service()) continue;
     const auto wanted = std::max(1U, settings_.replica_span(job->spec.team, job->spec.job_class));
     if (wanted == gangs_.tracker().span(id)) continue;
@@ -57,15 +57,15 @@
   }
 }
 
-std::uint32_t Leader::placeable(const Job& job) const {
-  return job.ready - std::min(job.ready, gangs_.tracker().unusable_tasks(job.spec.id));
+std::uint32_t Leader::placeable_tasks(const Job& job) const {
+  return job.ready_count - std::min(job.ready_count, gangs_.tracker().unusable_tasks(job.spec.id));
 }
 
 void Leader::apply_gang_actions() {
   if (!gangs_.any()) return;
   gangs_.tracker().pass(loop().now(), [this](const wire::JobId& id) {
-    const auto job = live_.find(id);
-    return job != live_.end() && !unconfirmed_could_hold(*job->second);
+    const auto job = live_jobs_.find(id);
+    return job != live_jobs_.end() && !may_run_on_unconfirmed_machine(*job->second);
   });
   CommandsByMachine commands;
   for (const auto& action : gangs_.act(fleet_)) {
@@ -84,7 +84,7 @@
           settings_.main_zone,
           [this, &job](const Pool& pool) { return image_pull_s(job, pool); },
           [this, &job](const Machine& machine) {
-            return !job.failed_on.contains(machine.id) && !crowded(machine, job);
+            return !job.failed_on.contains(machine.id) && !has_too_many_services(machine, job);
           },
           [this, &job](std::uint32_t members, const std::string& zone) {
             if (!zone_allows(job, zone)) return false;
@@ -105,11 +105,11 @@
   const auto span = gangs_.tracker().span(job.spec.id);
   int placed = 0;
   std::size_t in_vain = 0;
-  if (placeable(job) == 0)
+  if (placeable_tasks(job) == 0)
     job.reason = "the last tasks make no whole replica of " + std::to_string(span) + " machines";
   for (const auto& want : gangs_.tracker().wants(job.spec.id, kReplicasPerTurn, now)) {
     if (in_vain >= kInVain) break;
-    if (!team_has_room(job, static_cast<std::uint32_t>(want.tasks.size()))) {
+    if (!quota_admits(job, static_cast<std::uint32_t>(want.tasks.size()))) {
       job.reason = "the team's limit is reached";
       break;
     }
@@ -123,7 +123,7 @@
     }
     for (const auto& [index, host] : start->tasks) {
       auto& machine = *fleet_.find(host);
-      assign(machine, job, index);
+      assign_task(machine, job, index);
       const wire::TaskId task_id{job.spec.id, index};
       commands[host].push_back({CommandType::start, task_id, machine.assignments.at(task_id).attempt, 0});
       ++placed;
@@ -138,8 +138,8 @@
   std::size_t left = kMovesPerTurn;
   for (const auto& move : gangs_.tracker().moves(loop().now())) {
     if (left-- == 0) break;
-    const auto job = live_.find(move.id.first);
-    if (job == live_.end() || !gangs_.move(fleet_, move, gang_constraints(*job->second), loop().now()))
+    const auto job = live_jobs_.find(move.id.first);
+    if (job == live_jobs_.end() || !gangs_.move(fleet_, move, gang_constraints(*job->second), loop().now()))
       continue;
     ++event_counts_["replicas moved"];
   }
@@ -149,39 +149,39 @@
 // Machines in one zone for a replica that waits, when none are coming that it could use.
 void Leader::rent_for_gangs(const std::vector<planner::Offer>& offers) {
   if (!gangs_.any()) return;
-  if (rental_manager_.any_requested()) return;
+  if (rental_manager_.has_pending_rental()) return;
   for (const auto& [id, lack] : gangs_.shortages(loop().now())) {
-    const auto found = live_.find(id);
-    if (found == live_.end()) continue;
+    const auto found = live_jobs_.find(id);
+    if (found == live_jobs_.end()) continue;
     const auto& job = *found->second;
     // What is moved stays within its team's limit: it is stopped before it starts.
-    const bool waits = placeable(job) > 0;
-    if (waits && (!may_start(job) || !team_has_room(job, gangs_.tracker().span(id)))) continue;
+    const bool waits = placeable_tasks(job) > 0;
+    if (waits && (!may_start(job) || !quota_admits(job, gangs_.tracker().span(id)))) continue;
     const bool coming =
         std::any_of(fleet_.pools().begin(), fleet_.pools().end(), [&, &lack = lack](const auto& entry) {
-          return model::allows(job.spec, entry.first) && entry.second.sums.booting > 0 &&
+          return model::allows(job.spec, entry.first) && entry.second.totals.booting > 0 &&
                  (lack.zone.empty() || entry.first.zone == lack.zone) &&
                  job.spec.request.fits(entry.second.capacity);
         });
     if (coming) return;
-    planner::Work item;
+    planner::Workload item;
     item.request = job.spec.request;
     item.machine_types = job.spec.machine_types;
     item.zone = lack.zone.empty() ? job.spec.zone : lack.zone;
-    const auto type = planner::preferred(item, offers);
+    const auto type = planner::choose_offer(item, offers);
     // Where the zone has none, any that it may have: the next search finds the zone with most.
     if (type && rental_manager_.request(offers[*type].machine_type, false, static_cast<double>(lack.machines),
                                         lack.zone) > 0)
       return;
     item.zone = job.spec.zone;
-    item.tasks = gangs_.tracker().span(id);
+    item.task_count = gangs_.tracker().span(id);
     for (const auto& offer : offers) {
       if (planner::slots(item.request, offer.machine_type.capacity) < 1 ||
           !planner::allows(item.machine_types, offer.machine_type.name))
         continue;
       for (const auto& zone : offer.machine_type.zones) {
         if (zone == lack.zone || (item.zone && zone != *item.zone)) continue;
-        if (rental_manager_.request(offer.machine_type, false, item.tasks, zone) > 0) return;
+        if (rental_manager_.request(offer.machine_type, false, item.task_count, zone) > 0) return;
       }
     }
   }
@@ -192,7 +192,7 @@
   for (const auto& [task_id, assignment] : machine.assignments)
     if (!assignment.orphaned)
       gangs_.tracker().must_leave(task_id, machine.preemption_at.has_value(), loop().now());
-  place_soon();
+  schedule_placement();
 }
 
 // Its members are taken for lost: their peers count for nothing alone.
@@ -200,7 +200,7 @@
   if (!gangs_.any()) return;
   for (const auto& [task_id, assignment] : machine.assignments)
     if (!assignment.orphaned) gangs_.tracker().failing(task_id, loop().now());
-  place_soon();
+  schedule_placement();
 }
 
 }  // namespace bankhill::leader
--- a/src/leader/heartbeats.cpp
+++ b/src/leader/heartbeats.cpp
@@ -11,7 +11,7 @@
 using model::ExitedAttempt;
 using model::Job;
 using model::Machine;
-using queue::task_s;
+using queue::estimated_runtime_s;
 using state::FlushDelay;
 using wire::Command;
 using wire::CommandType;
@@ -41,7 +41,7 @@
   std::vector<Command> stops;
   for (const auto& task_status : heartbeat.tasks) {
     const auto job = jobs.find(task_status.task.job);
-    const bool over = job == jobs.end() || job->second.ended();
+    const bool over = job == jobs.end() || job->second.has_ended();
     if (over && runs(task_status) && stops.size() < kMaxOrders)
       stops.push_back({CommandType::stop, task_status.task, task_status.attempt, 0});
   }
@@ -51,12 +51,12 @@
 
 // Everything that lengthens a worker's lease goes through here (invariant 34).
 wire::HeartbeatResponse Leader::accepted_response(std::vector<Command> commands) const {
-  if (!may_act()) return {};
+  if (!is_active_leader()) return {};
   return {0, wire::HeartbeatResult::accepted, wire::FencingToken{term_}, std::move(commands)};
 }
 
 void Leader::on(HeartbeatReceived& message) {
-  if (!may_act()) return message.reply({});
+  if (!is_active_leader()) return message.reply({});
   note_acting();
   const auto& heartbeat = message.heartbeat;
   if (message.route == net::HeartbeatRoute::relayed) reachability_probe_.note_suspicion();
@@ -83,12 +83,12 @@
   if (!brief) on_machine_up(*machine, heartbeat, true);
   const bool news = brief || apply_heartbeat(*machine, heartbeat, &message.forwarded_by);
   machine->heartbeat_sequence = heartbeat.sequence;
-  machine->heartbeat_at = loop().now();
+  machine->last_heartbeat_received_at = loop().now();
   machine_monitor_.update_reporting(*machine);
   // An answer with a valid fencing token extends the worker's lease whatever it holds: also when a direct
   // answer has overtaken the heartbeat. Else its tasks would be started elsewhere while they still run
   // (invariant 6).
-  machine->lease.renewed_at(loop().now());
+  machine->lease.record_renewal(loop().now());
   machine->answered_at = loop().now();
   update_lease_forecast(*machine);
   if (!news) return message.reply(accepted_response(stops_for(heartbeat, jobs_)));
@@ -97,7 +97,7 @@
   // What is placed now goes out with the answer: that spares a request and a heartbeat for each task.
   if (!queue_.jobs().empty() && machine->takes_tasks() && machine->available().cores > 0) {
     pending_responses_.push_back({machine->id, heartbeat.sequence, std::move(message.reply)});
-    return place_soon();
+    return schedule_placement();
   }
   answer_heartbeat(*machine, heartbeat.sequence, message.reply);
 }
@@ -115,13 +115,13 @@
   if (heartbeat.agent_epoch > machine.agent_epoch) {
     if (machine.agent_epoch.value != 0) on_new_agent_epoch(machine, heartbeat.agent_epoch);
     machine.agent_epoch = heartbeat.agent_epoch;
-    machine.sequence = machine.listed_sequence = 0;
+    machine.last_sequence = machine.listed_sequence = 0;
     machine.answered_at.reset();
     fleet_.refresh(machine);
   }
   machine.heartbeat_sequence = heartbeat.sequence;
-  machine.last_contact = machine.heartbeat_at = now;
-  machine.lease.renewed_at(now);  // it may be true all the same (invariant 6)
+  machine.last_contact = machine.last_heartbeat_received_at = now;
+  machine.lease.record_renewal(now);  // it may be true all the same (invariant 6)
   reply(accepted_response(stops_for(heartbeat, jobs_)));
 }
 
@@ -139,7 +139,8 @@
       guard([this, machine_id = heartbeat.machine_id, term = first_term_, agent_epoch = heartbeat.agent_epoch,
              answered_at =
                  answered ? std::optional(loop().now()) : std::nullopt](const net::Response& response) {
-        if (!may_act() || term != first_term_ || (response.status != 200 && response.status != 409)) return;
+        if (!is_active_leader() || term != first_term_ || (response.status != 200 && response.status != 409))
+          return;
         try {
           const auto answer = wire::parse_heartbeat(wire::parse_object(response.body));
           if (answer.machine_id != machine_id) return;  // its address is another's by now
@@ -179,14 +180,14 @@
                                    const std::string& by) {
   if (!machine.up || !machine.recorded || !machine.confirmed || machine.lease_expired ||
       machine.agent_epoch != heartbeat.agent_epoch || machine.listed_sequence != base ||
-      heartbeat.sequence <= machine.sequence)
+      heartbeat.sequence <= machine.last_sequence)
     return false;
   // A start that should be listed by now is missing: the list itself must show it (invariant 6).
   const bool awaited =
       std::any_of(machine.assignments.begin(), machine.assignments.end(), [&](const auto& entry) {
         const auto& assignment = entry.second;
         return assignment.state == AssignmentState::sent &&
-               (assignment.stopping || assignment.in_flight_starts.shown_by(heartbeat.sequence));
+               (assignment.stopping || assignment.in_flight_starts.is_reflected_in(heartbeat.sequence));
       });
   if (awaited) return false;
   const bool was_quiet = machine.overdue;
@@ -198,12 +199,12 @@
 
 void Leader::note_contact(Machine& machine, const wire::Heartbeat& heartbeat, bool direct) {
   const double now = loop().now();
-  machine.sequence = heartbeat.sequence;
+  machine.last_sequence = heartbeat.sequence;
   machine.seen_token = std::max(machine.seen_token, heartbeat.fencing_token);
   if (!direct)
     machine.regular_heartbeat =
-        now - machine.last_heartbeat >= kRegularReport * settings_.heartbeat_interval_s;
-  if (!direct) machine.last_heartbeat = now;
+        now - machine.last_heartbeat_applied_at >= kRegularReport * settings_.heartbeat_interval_s;
+  if (!direct) machine.last_heartbeat_applied_at = now;
   machine.last_contact = now;
   machine.probes_unanswered = 0;
   machine.lease_expired = machine.overdue = false;
@@ -216,7 +217,7 @@
     machine.machine_type = heartbeat.machine_type;
     machine.zone = heartbeat.zone;
     machine.preemptible = heartbeat.preemptible;
-    machine.idle_since = machine.heartbeat_at = loop().now();
+    machine.idle_since = machine.last_heartbeat_received_at = loop().now();
     set_capacity(machine);
     if (expected && !machine.boot_overdue) machine_monitor_.count_boot(true);
     ++event_counts_["machines came up"];
@@ -232,7 +233,7 @@
 void Leader::on_machine_restarted(Machine& machine) {
   if (machine.terminating) return;
   log_->warn("machine {}: is back and has forgotten its session, returning it", machine.id.value);
-  machine.lease.renewed_at(loop().now());
+  machine.lease.record_renewal(loop().now());
   terminate(machine, "back without its session");
 }
 
@@ -242,7 +243,7 @@
   const auto before = machine.downlink.state();
   machine.downlink.heartbeat_received(loop().now(), machine_monitor_.timing(),
                                       {heartbeat.sequence, heartbeat.agent_epoch, heartbeat.fencing_token, by,
-                                       lost_start, ran_start, !ports_.peer_heard()});
+                                       lost_start, ran_start, !ports_.has_peer_contact()});
   machine_monitor_.downlink_changed(machine, before);
 }
 
@@ -250,7 +251,7 @@
   const bool direct = by == nullptr;
   // Invariant 11.
   if (std::pair(heartbeat.agent_epoch, heartbeat.sequence) <=
-      std::pair(machine.agent_epoch, machine.sequence))
+      std::pair(machine.agent_epoch, machine.last_sequence))
     return false;
   const double now = loop().now();
   // A start that went with an earlier answer should be listed, whatever became of it. One that is not never
@@ -262,7 +263,7 @@
     for (const auto& task_status : heartbeat.tasks) shown.insert(task_status.task);
     for (auto& [task_id, assignment] : machine.assignments) {
       if (assignment.state != AssignmentState::sent ||
-          !assignment.in_flight_starts.shown_by(heartbeat.sequence))
+          !assignment.in_flight_starts.is_reflected_in(heartbeat.sequence))
         continue;
       (shown.contains(task_id) ? ran_start : lost_start) = true;
       if (!shown.contains(task_id)) assignment.stopping = true;
@@ -274,7 +275,7 @@
   // A agent epoch that is new to us began at some moment before now: its lease is counted from here, or a
   // direct answer would bring back a machine whose lease seems to have run out long ago.
   if (session_begun || machine.lease_expired) {
-    machine.lease.renewed_at(now);
+    machine.lease.record_renewal(now);
     machine.answered_at.reset();
   }
   machine.agent_epoch = heartbeat.agent_epoch;
@@ -286,7 +287,7 @@
   if (confirms) {
     // From here on nothing that an earlier leader ordered can take effect (invariant 5).
     machine.confirmed = true;
-    place_soon();
+    schedule_placement();
   }
   if (direct) update_lease_forecast(machine);
   if (heartbeat.preemption_notice_s) on_preemption_notice(machine, *heartbeat.preemption_notice_s);
@@ -304,8 +305,8 @@
   std::vector<wire::TaskId> never_started;
   const auto shown = direct ? std::nullopt : std::optional(heartbeat.sequence);
   for (const auto& [task_id, assignment] : machine.assignments) {
-    const bool none_arrives = assignment.in_flight_starts.directs_over(machine.seen_token) &&
-                              assignment.in_flight_starts.answer_over(shown);
+    const bool none_arrives = assignment.in_flight_starts.direct_starts_settled(machine.seen_token) &&
+                              assignment.in_flight_starts.response_start_settled(shown);
     if (assignment.stopping && assignment.state == AssignmentState::sent && !listed.contains(task_id) &&
         none_arrives)
       never_started.push_back(task_id);
@@ -376,10 +377,10 @@
     case TaskState::exited:
       return on_task_exited(machine, task_status);
   }
-  if (job != jobs_.end() && !assignment.orphaned && job->second.live()) {
+  if (job != jobs_.end() && !assignment.orphaned && job->second.is_live()) {
     const bool runs = assignment.state == AssignmentState::running;
     if (runs != was_running) {
-      job->second.running += runs ? 1 : -1;
+      job->second.running_count += runs ? 1 : -1;
       job->second.progress_dirty = true;
       if (runs) gangs_.tracker().running(task_status.task, loop().now());
     }
@@ -397,15 +398,15 @@
 void Leader::adopt_task(Machine& machine, const wire::TaskStatus& task_status) {
   const auto job = jobs_.find(task_status.task.job);
   const bool known = job != jobs_.end() && task_status.task.index < job->second.spec.task_count;
-  const bool live = known && job->second.live();
+  const bool live = known && job->second.is_live();
   if (task_status.state == TaskState::exited) {
     auto [entry, added] = machine.exited_attempts.try_emplace(task_status.task);
     if (!added && entry->second.attempt == task_status.attempt) return;
     entry->second = ExitedAttempt{task_status.attempt, true, {}};
     if (live && task_status.exit_reason == ExitReason::done &&
-        job->second.marks[task_status.task.index] != model::kDone) {
+        job->second.task_progress[task_status.task.index] != model::kTaskDone) {
       // Finished under an earlier leader, or just before its lease ran out.
-      const bool elsewhere = job->second.marks[task_status.task.index] == model::kAssigned;
+      const bool elsewhere = job->second.task_progress[task_status.task.index] == model::kTaskAssigned;
       if (elsewhere) return;  // the other attempt will exit with done by itself
       entry->second.stored = false;
       on_task_completed(job->second, task_status.task.index, mark_stored(machine, task_status.task));
@@ -417,20 +418,20 @@
   assignment.attempt = task_status.attempt;
   assignment.agent_epoch = machine.agent_epoch;
   assignment.assigned_at = loop().now();
-  assignment.orphaned = !live || job->second.marks[task_status.task.index] != model::kReady;
+  assignment.orphaned = !live || job->second.task_progress[task_status.task.index] != model::kTaskReady;
   assignment.stopping = assignment.orphaned;
   if (known) {
     assignment.team = job->second.spec.team;
     assignment.job_class = job->second.spec.job_class;
     assignment.priority = effective_priority(job->second);
-    assignment.service = job->second.is_service();
-    assignment.largest = queue_.largest(job->second);
+    assignment.is_service = job->second.is_service();
+    assignment.largest = queue_.is_among_largest(job->second);
     assignment.request = job->second.spec.request;
   } else {
     assignment.request = machine.capacity;  // unknown: the machine counts as full
   }
   if (!assignment.orphaned) {
-    job->second.set_mark(task_status.task.index, model::kAssigned);
+    job->second.set_task_progress(task_status.task.index, model::kTaskAssigned);
     update_queue_membership(job->second);
   } else {
     log_->debug("machine {}: {} has no business here, stopping it", machine.id.value,
@@ -458,10 +459,10 @@
     machine.used = {};
     machine.idle_since = loop().now();
   }
-  if (assignment.service) machine.service_cores -= assignment.request.cores;
+  if (assignment.is_service) machine.service_cores -= assignment.request.cores;
   quota_.remove(assignment);
-  book(assignment, -1);
-  note_gone(machine, assignment);
+  adjust_allocated_cores(assignment, -1);
+  on_assignment_removed(machine, assignment);
   fleet_.refresh(machine);
   const auto found_job = jobs_.find(task_id.job);
   if (!assignment.orphaned) gangs_.tracker().gone(task_id, loop().now());
@@ -471,13 +472,14 @@
     if (const auto zone = job.tasks_by_zone.find(machine.zone);
         zone != job.tasks_by_zone.end() && --zone->second == 0)
       job.tasks_by_zone.erase(zone);
-    if (job.live()) {
-      if (assignment.state == AssignmentState::running) --job.running;
-      if (job.marks[task_id.index] == model::kAssigned) job.set_mark(task_id.index, model::kReady);
+    if (job.is_live()) {
+      if (assignment.state == AssignmentState::running) --job.running_count;
+      if (job.task_progress[task_id.index] == model::kTaskAssigned)
+        job.set_task_progress(task_id.index, model::kTaskReady);
       update_queue_membership(job);
     }
   }
-  place_soon();
+  schedule_placement();
 }
 
 void Leader::on_task_exited(Machine& machine, const wire::TaskStatus& task_status) {
@@ -486,7 +488,7 @@
   ExitedAttempt exited_attempt{task_status.attempt, true, assignment.in_flight_starts};
   remove_assignment(machine, task_status.task);
   const auto job = jobs_.find(task_status.task.job);
-  const bool live = job != jobs_.end() && job->second.live() && !assignment.orphaned;
+  const bool live = job != jobs_.end() && job->second.is_live() && !assignment.orphaned;
   if (live && task_status.exit_reason == ExitReason::done) {
     machine.errors_in_row = 0;
     machine.error_jobs.clear();
@@ -541,7 +543,7 @@
     }
     const bool sick =
         machine.error_jobs.size() >= kMachineErrorJobs ||
-        (!job.faulty && (job.finished > 0 || serves) && machine.errors_in_row >= kMachineErrors);
+        (!job.faulty && (job.finished_count > 0 || serves) && machine.errors_in_row >= kMachineErrors);
     if (sick && !machine.draining) {
       drain(machine, kUnhealthy);
       log_->warn("machine {}: tasks keep failing there, taking it out of use", machine.id.value);
@@ -569,10 +571,10 @@
 }
 
 void Leader::on_task_completed(Job& job, std::uint32_t index, std::function<void()> then) {
-  job.set_mark(index, model::kDone);
+  job.set_task_progress(index, model::kTaskDone);
   update_queue_membership(job);
   ++event_counts_["tasks done"];
-  if (job.finished < job.spec.task_count)
+  if (job.finished_count < job.spec.task_count)
     return completion_bitmaps_.store(completion_bitmaps_.record_of(job, index / wire::kCompletionChunkTasks),
                                      FlushDelay::exits, std::move(then));
   log_->debug("job {}: all {} tasks done, {:.1f} s after acceptance ({} guessed {:.1f} s each)",
@@ -583,9 +585,10 @@
 }
 
 void Leader::write_job_done(const Job& job, Continuation then) {
-  writes_.store(wire::job_key(job.spec.id),
-                final_record_json(record_of(job), wire::JobState::done, loop().wall(), writes_.value_limit()),
-                dependencies_.awaited(job.spec.id) ? FlushDelay::awaited : FlushDelay::none, std::move(then));
+  writes_.store(
+      wire::job_key(job.spec.id),
+      final_record_json(make_job_record(job), wire::JobState::done, loop().wall(), writes_.value_limit()),
+      dependencies_.has_dependents(job.spec.id) ? FlushDelay::awaited : FlushDelay::none, std::move(then));
 }
 
 // The assignment is to be stopped; returns the command that does it.
@@ -611,7 +614,7 @@
   std::vector<Command> forgets;
   for (auto& [task_id, exited_attempt] : machine.exited_attempts) {
     // Invariant 7: a start of this attempt that is still on its way would start it once more.
-    if (exited_attempt.stored && exited_attempt.in_flight_starts.directs_over(machine.seen_token) &&
+    if (exited_attempt.stored && exited_attempt.in_flight_starts.direct_starts_settled(machine.seen_token) &&
         forgets.size() < kMaxOrders / 2)
       forgets.push_back({CommandType::forget, task_id, exited_attempt.attempt, 0});
   }
@@ -622,7 +625,7 @@
       commands.push_back({CommandType::stop, task_id, assignment.attempt, assignment.grace_period_s});
     } else if (assignment.state == AssignmentState::sent && machine.takes_tasks()) {
       commands.push_back({CommandType::start, task_id, assignment.attempt, 0});
-      assignment.in_flight_starts.sent_with_answer(answered_counter);
+      assignment.in_flight_starts.record_response_start(answered_counter);
     }
   }
   // The worker reports again when it has forgotten something: that can wait for orders or the next regular
@@ -633,13 +636,13 @@
 }
 
 void Leader::send_command(Machine& machine, std::vector<Command> commands, Continuation over) {
-  if (!may_act() || machine.address.empty()) {
+  if (!is_active_leader() || machine.address.empty()) {
     if (over) loop().post(guard(std::move(over)));
     return;
   }
   for (const auto& command : commands)
     if (command.type == CommandType::start)
-      machine.assignments.at(command.task).in_flight_starts.sent_directly();
+      machine.assignments.at(command.task).in_flight_starts.record_direct_start();
   const wire::FencingToken fencing_token{term_};
   // A machine whose agent epoch is not known yet answers 409 with its heartbeat, which tells it.
   const auto agent_epoch = std::max<std::uint64_t>(1, machine.agent_epoch.value);
@@ -672,10 +675,10 @@
     if (command.type != CommandType::start) continue;
     if (const auto assignment = machine.assignments.find(command.task);
         assignment != machine.assignments.end() && assignment->second.attempt == command.attempt) {
-      assignment->second.in_flight_starts.direct_ended(fencing_token, certain);
+      assignment->second.in_flight_starts.record_direct_result(fencing_token, certain);
     } else if (const auto left = machine.exited_attempts.find(command.task);
                left != machine.exited_attempts.end() && left->second.attempt == command.attempt) {
-      left->second.in_flight_starts.direct_ended(fencing_token, certain);
+      left->second.in_flight_starts.record_direct_result(fencing_token, certain);
     }
     if (!certain) machine.uncertain_start_at = loop().now();
   }
@@ -711,7 +714,7 @@
   if (machine.preemption_at) return;
   machine.preemption_at = now + preemption_notice_s;
   drain(machine, "the cloud takes it back");
-  autoscaler_.machine_reclaimed(machine.machine_type);
+  autoscaler_.on_machine_reclaimed(machine.machine_type);
   log_->debug("machine {}: the cloud takes it in {} s, {} tasks", machine.id.value, preemption_notice_s,
               machine.assignments.size());
   ++event_counts_["machines warned"];
@@ -720,8 +723,8 @@
     // A replica that spans machines moves as one, when all its places are found (drain).
     if (job == jobs_.end() || assignment.stopping || gangs_.follows(task_id.job)) continue;
     const auto& spec = job->second.spec;
-    const double left =
-        task_s(job->second) - (assignment.running_since > 0 ? now - assignment.running_since : 0);
+    const double left = estimated_runtime_s(job->second) -
+                        (assignment.running_since > 0 ? now - assignment.running_since : 0);
     // What ends before the notice does may end; the rest moves now, saving what it can.
     if (!job->second.is_service() && assignment.state == AssignmentState::running &&
         left < preemption_notice_s / 2)
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -56,13 +56,13 @@
       completion_bitmaps_(
           writes_,
           [this](const wire::JobId& id) {
-            const auto found = live_.find(id);
-            return found == live_.end() ? nullptr : found->second;
+            const auto found = live_jobs_.find(id);
+            return found == live_jobs_.end() ? nullptr : found->second;
           },
           record_numbers_, log_),
-      queue_(queue_settings(), queue_facts()),
-      autoscaler_(loop, log_, autoscaler_settings(), {machine_types_, live_, queue_, fleet_, rental_manager_},
-                  autoscaler_ports()),
+      queue_(queue_settings(), queue_callbacks()),
+      autoscaler_(loop, log_, autoscaler_settings(),
+                  {machine_types_, live_jobs_, queue_, fleet_, rental_manager_}, autoscaler_ports()),
       gangs_({settings_.gang_wait_s, settings_.gang_peer_s, settings_.gang_wait_s}),
       backfill_reservations_(
           {settings_.control_interval_s, kKeptOverdue * settings_.begin_within_s, kKeptMost}),
@@ -94,12 +94,14 @@
 }
 
 // A leader that cannot learn of cancellations must not keep workers' leases alive (invariant 34).
-bool Leader::state_stale() const { return loop().now() - barrier_sent_at_ >= settings_.read_age_s; }
+bool Leader::state_stale() const { return loop().now() - barrier_sent_at_ >= settings_.max_read_age_s; }
 
 // Invariant 2.
-bool Leader::may_act() const { return is_leader_ && loop().now() < lease_valid_until_ && !state_stale(); }
+bool Leader::is_active_leader() const {
+  return is_leader_ && loop().now() < lease_valid_until_ && !state_stale();
+}
 
-void Leader::on(Changed& message) {
+void Leader::on(StoreChanged& message) {
   // Jobs last: what they wait for may stand under further keys of the same transaction.
   for (const auto& change : *message.changes) {
     if (has_prefix(change.key, wire::kJobKeyPrefix) || !cache_.apply(change)) continue;
@@ -161,23 +163,23 @@
   const double now = loop().now();
   term_began_at_ = now;
   machine_monitor_.begin_term();
-  lease_forecast_.peer_led(ports_.peer_led_at());
+  lease_forecast_.record_peer_leading(ports_.peer_led_at());
   note_acting();
   next_round_ = next_catalogue_ = next_barrier_ = next_progress_ = next_summary_ = now;
   attempts_ = 0;
   clear_term();
   rental_manager_.begin_term(first_term_);
-  unread_leases_until_ = 0;
-  for (auto& [id, job] : live_) lead_job(*job);
+  unreadable_machine_leases_until_ = 0;
+  for (auto& [id, job] : live_jobs_) lead_job(*job);
   cancelled_dependents_.clear();
   for (const auto& [id, job] : jobs_)
-    if (job.dependency_cancelled && !job.ended()) cancelled_dependents_.push_back(id);
+    if (job.dependency_cancelled && !job.has_ended()) cancelled_dependents_.push_back(id);
   adopt_records();
   adopt_quota();
   collect_dependency_garbage();
   rental_manager_.reconcile_rentals();
-  log_->info("leader: begin reign, term {}, {} live jobs, {} machines, {} rentals", term_, live_.size(),
-             fleet_.size(), rental_manager_.size());
+  log_->info("leader: begin reign, term {}, {} live jobs, {} machines, {} rentals", term_, live_jobs_.size(),
+             fleet_.size(), rental_manager_.rental_count());
   probe_unconfirmed();
   plan_soon();
 }
@@ -225,8 +227,8 @@
         // Invariant 29: which machines it named, and what an earlier leader started there, is not known. All
         // that was not heard by then has lost its lease.
         model::AgentLease unread;
-        unread.renewed_at(now);
-        unread_leases_until_ = unread.expired_at(settings_.lease_s);
+        unread.record_renewal(now);
+        unreadable_machine_leases_until_ = unread.latest_expiry_at(settings_.lease_s);
         continue;
       }
       const auto& record = *parsed;
@@ -246,9 +248,9 @@
         machine.machine_type = record.machine_type;
         machine.zone = record.zone;
         machine.preemptible = record.preemptible;
-        machine.up = machine.recorded = machine.recording = machine.inherited = true;
+        machine.up = machine.recorded = machine.record_pending = machine.inherited = true;
         machine.first_seen = machine.last_contact = machine.idle_since = now;
-        machine.lease.renewed_at(now);  // no earlier leader answered after the term began
+        machine.lease.record_renewal(now);  // no earlier leader answered after the term began
         set_capacity(machine);
         fleet_.refresh(machine);
         machine_groups_.adopt_machine(name, machine);
@@ -291,14 +293,15 @@
   const auto own_number = single ? 0 : std::stoull(name);
   std::set<std::uint64_t> homes;  // of what is not to stay here
   for (const auto& [id, hex] : record) {
-    const auto found = live_.find(id.job);
-    if (found == live_.end()) continue;
+    const auto found = live_jobs_.find(id.job);
+    if (found == live_jobs_.end()) continue;
     auto& job = *found->second;
     for (const auto index : wire::parse_completion_hex(hex, id.chunk))
-      if (index < job.spec.task_count && job.marks[index] != model::kDone) job.set_mark(index, model::kDone);
+      if (index < job.spec.task_count && job.task_progress[index] != model::kTaskDone)
+        job.set_task_progress(index, model::kTaskDone);
     update_queue_membership(job);
     // The bucket may have been written before the job's own record: no exit is left that would end it.
-    if (job.finished == job.spec.task_count) write_job_done(job, {});
+    if (job.finished_count == job.spec.task_count) write_job_done(job, {});
     if (single) {
       homes.insert(completion_bitmaps_.record_of(job, id.chunk));
       continue;
@@ -351,7 +354,7 @@
   auto& record = *parsed;
   auto& job = jobs_[id];
   const bool known = job.revision.value != 0;
-  const bool was_live = !known || job.live();
+  const bool was_live = !known || job.is_live();
   job.revision = change.revision;
   job.state = record.state;
   job.accepted_at = record.accepted_at;
@@ -361,24 +364,24 @@
     job.spec = std::move(record.spec);
     job.dependency_parts = record.dependency_parts;
     job.cutoff = record.cutoff;
-    queue_.came(job);
-    if (job.live()) live_.emplace(id, &job);
-    if (job.live() && (!job.spec.depends_on.empty() || job.dependency_parts > 0)) add_dependencies(job);
+    queue_.note_accepted(job);
+    if (job.is_live()) live_jobs_.emplace(id, &job);
+    if (job.is_live() && (!job.spec.depends_on.empty() || job.dependency_parts > 0)) add_dependencies(job);
     // Services that are over count too: a new leader knows from the first how many come.
     if (job.is_service()) {
-      autoscaler_.service_accepted(job);
+      autoscaler_.on_service_accepted(job);
     }
-    if (is_leader_ && job.live()) {
+    if (is_leader_ && job.is_live()) {
       lead_job(job);
-      place_soon();
+      schedule_placement();
       plan_soon();
     }
   }
   job.ended_at = record.ended_at;
-  dependencies_.learn(id, dependency_info(job));
-  if (was_live && !job.live()) remove_live(job);
-  if (job.ended()) {
-    if (job.dependency_parts > 0 && is_leader_) drop_dependency_parts(id, job.dependency_parts);
+  dependencies_.update(id, dependency_info(job));
+  if (was_live && !job.is_live()) remove_live_job(job);
+  if (job.has_ended()) {
+    if (job.dependency_parts > 0 && is_leader_) delete_dependency_parts(id, job.dependency_parts);
     final_order_.push_back(id);
   }
 }
@@ -387,21 +390,22 @@
 // runs on as it was, and one that was not waits for its operators.
 void Leader::learn_partial(const wire::JobId& id, const state::Change& change) {
   const auto phase = wire::parse_partial_job_record(*change.data).state;
-  dependencies_.learn(id, model::dependency_info(phase.value_or(wire::JobState::accepted), change.revision));
+  dependencies_.update(id, model::dependency_info(phase.value_or(wire::JobState::accepted), change.revision));
   const auto found = jobs_.find(id);
-  if (found == jobs_.end() || !phase || *phase == wire::JobState::accepted || found->second.ended()) return;
+  if (found == jobs_.end() || !phase || *phase == wire::JobState::accepted || found->second.has_ended())
+    return;
   auto& job = found->second;
-  const bool was_live = job.live();
+  const bool was_live = job.is_live();
   job.revision = change.revision;
   job.state = *phase;
-  if (was_live) remove_live(job);
+  if (was_live) remove_live_job(job);
   final_order_.push_back(id);
 }
 
 // It is over, or will never start.
-void Leader::remove_live(Job& job) {
-  live_.erase(job.spec.id);
-  queue_.leave(job.spec.id);
+void Leader::remove_live_job(Job& job) {
+  live_jobs_.erase(job.spec.id);
+  queue_.remove(job.spec.id);
   backfill_reservations_.release(job.spec.id);
   preemption_reservations_.release(job.spec.id);
   if (is_leader_) {
@@ -410,11 +414,11 @@
     completion_bitmaps_.remove(job);
     plan_soon();
   }
-  // It needs no marks any more; its specification stays for tasks still to be stopped.
-  job.marks.clear();
-  job.marks.shrink_to_fit();
+  // Its task progress is needed no more; its specification stays for tasks still to be stopped.
+  job.task_progress.clear();
+  job.task_progress.shrink_to_fit();
   job.failed_on.clear();
-  job.ready = job.assigned = 0;
+  job.ready_count = job.assigned_count = 0;
 }
 
 // Memory is bounded: a job that was over long ago is dropped once no task of it is left. Should one turn up
@@ -434,14 +438,14 @@
 }
 
 void Leader::update_queue_membership(Job& job) {
-  if (job.live() && job.dependencies_met && job.ready > 0)
-    queue_.enter(job);
+  if (job.is_live() && job.dependencies_met && job.ready_count > 0)
+    queue_.enqueue(job);
   else
-    queue_.leave(job.spec.id);
+    queue_.remove(job.spec.id);
 }
 
 void Leader::lead_job(Job& job) {
-  job.reset_marks();
+  job.reset_task_progress();
   job.failed_on.clear();
   job.faulty = false;
   job.failures_in_row = 0;
@@ -470,7 +474,7 @@
   tick_timer_ = loop().after(kTickS, guard([this] { tick(); }));
   const double now = loop().now();
   const double passed = now - std::exchange(last_tick_, now);
-  lease_forecast_.peer_led(ports_.peer_led_at());
+  lease_forecast_.record_peer_leading(ports_.peer_led_at());
   if (!is_leader_ && lease_id_ != 0) follow_leadership();
   if (is_leader_ && now >= next_barrier_) send_read_barrier();
   // Nor must it keep the leadership, when its renewals alone are answered.
@@ -479,20 +483,20 @@
   if (lease_id_ != 0 && state_stale() && now < lease_valid_until_ && now - lease_held_since_ > kListenS)
     return ports_.resign();
   // Where no heartbeat can be taken, none that is missing tells anything of its machine.
-  if (!may_act() || passed > settings_.control_interval_s) machine_monitor_.listens_from_now();
-  if (!may_act()) return;
+  if (!is_active_leader() || passed > settings_.control_interval_s) machine_monitor_.listens_from_now();
+  if (!is_active_leader()) return;
   note_acting();
-  autoscaler_.advance(passed, decay_factor(passed));
+  autoscaler_.advance_reclaim_history(passed, decay_factor(passed));
   if (now >= next_catalogue_) fetch_catalogue();
   monitor_machines(std::min(1.0, passed / kWatchS));
   rental_manager_.reconcile_if_due();
   if (now >= next_round_) {
     next_round_ = now + settings_.round_s;
     write_quota(true);
-    follow_policy();
+    update_gang_spans();
     look_ahead();
     plan_soon();
-    place_soon();
+    schedule_placement();
   }
   write_quota(false);
   apply_gang_actions();
@@ -513,11 +517,11 @@
           [this](const wire::MachineId& machine_id) -> std::optional<ReachabilityProbe::MachineState> {
             const auto* machine = fleet_.peek(machine_id);
             if (machine == nullptr) return std::nullopt;
-            return ReachabilityProbe::MachineState{machine->probes_unanswered > 0,
-                                                   machine->downlink.heard_by_peer(),
-                                                   machine->downlink.lost_by_peer(), machine->last_heartbeat};
+            return ReachabilityProbe::MachineState{
+                machine->probes_unanswered > 0, machine->downlink.peer_response_received_at(),
+                machine->downlink.peer_response_lost_at(), machine->last_heartbeat_applied_at};
           },
-          [this] { return ports_.peer_heard(); }, [this] { ports_.resign(); }};
+          [this] { return ports_.has_peer_contact(); }, [this] { ports_.resign(); }};
 }
 
 std::vector<wire::MachineId> Leader::reachability_candidates() {
@@ -539,19 +543,19 @@
   const auto& total = fleet_.total();
   model::FleetTotals steady;
   model::FleetTotals spot;
-  for (const auto& [pool, state] : fleet_.pools()) (pool.preemptible ? spot : steady) += state.sums;
+  for (const auto& [pool, state] : fleet_.pools()) (pool.preemptible ? spot : steady) += state.totals;
   log_->info(
       "leader: {}; {} machines up, {} coming, {} unconfirmed, {:.0f} of {:.0f} steady and {:.0f} of {:.0f} "
       "spot cores free, {} live jobs, {} waiting, {} writes waiting",
       text, total.up, total.booting, total.unconfirmed, steady.free_cores, steady.cores, spot.free_cores,
-      spot.cores, live_.size(), queue_.jobs().size(), writes_.size());
+      spot.cores, live_jobs_.size(), queue_.jobs().size(), writes_.size());
 }
 
 void Leader::fetch_catalogue() {
   next_catalogue_ = loop().now() + (machine_types_.empty() ? kSyncS : kCatalogueRounds * settings_.round_s);
   ports_.cloud.tell(
       cloud::GetCatalogue{guard([this](std::optional<std::vector<wire::MachineType>> machine_types) {
-        if (!machine_types || machine_types->empty() || !may_act()) return;
+        if (!machine_types || machine_types->empty() || !is_active_leader()) return;
         const bool first = machine_types_.empty();
         machine_types_ = std::move(*machine_types);
         for (auto& [host, machine] : fleet_) {
@@ -569,20 +573,20 @@
           if (!writes_.contains(entry->first)) writes_.store(entry->first, std::nullopt, FlushDelay::garbage);
         if (first) {
           plan_soon();
-          place_soon();
+          schedule_placement();
         }
       })});
 }
 
 void Leader::publish_progress() {
   next_progress_ = loop().now() + kProgressS;
-  for (auto& [id, job] : live_) {
+  for (auto& [id, job] : live_jobs_) {
     if (!std::exchange(job->progress_dirty, false)) continue;
     auto reason = job->reason;
     if (const auto by = queue_.cutoff(*job))
       if (const auto& stands = forecast_.reason(job->spec.team, *by); !stands.empty())
         reason += (reason.empty() ? "cutoff: " : "; cutoff: ") + stands;
-    ports_.progress(wire::JobProgress{job->finished, job->running, id.value, std::move(reason)});
+    ports_.progress(wire::JobProgress{job->finished_count, job->running_count, id.value, std::move(reason)});
   }
 }
 
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -16,11 +16,11 @@
 #include "gang/gang_scheduler.hpp"
 #include "leader/autoscaler.hpp"
 #include "leader/machine_monitor.hpp"
-#include "leader/preemption.hpp"
 #include "leader/quota_ledger.hpp"
 #include "leader/reachability_probe.hpp"
 #include "leader/rental_manager.hpp"
 #include "leader/unregistered_machines.hpp"
+#include "leader/victim_selector.hpp"
 #include "model/cancellation_bound.hpp"
 #include "model/dependency_graph.hpp"
 #include "model/fleet.hpp"
@@ -53,9 +53,9 @@
   double control_interval_s =
       3;  // what is asked again, waited for or given up goes by this (app/settings.hpp)
   double lease_s = 40;
-  double read_age_s = 6;    // that the last read barrier may have (model/cancellation_bound.hpp)
-  double gang_wait_s = 45;  // a replica that spans machines is whole in this time, or stopped
-  double gang_peer_s = 5;   // after one member is known to be gone, in which its peers are stopped
+  double max_read_age_s = 6;  // that the last read barrier may have (model/cancellation_bound.hpp)
+  double gang_wait_s = 45;    // a replica that spans machines is whole in this time, or stopped
+  double gang_peer_s = 5;     // after one member is known to be gone, in which its peers are stopped
   // Machines that make one replica, by team and class; empty: one each.
   std::function<std::uint32_t(const std::string& team, const std::string& job_class)> replica_span;
   double list_lag_s = 5;
@@ -80,7 +80,7 @@
 };
 
 // Messages.
-struct Changed {
+struct StoreChanged {
   state::Changes changes;
 };
 struct LeaseGranted {  // may act as holder of this lease until then (steady clock)
@@ -96,7 +96,7 @@
   std::string forwarded_by;  // the peer that it came through; empty: none
 };
 
-class Leader : public runtime::Actor<Leader, Changed, LeaseGranted, HeartbeatReceived>,
+class Leader : public runtime::Actor<Leader, StoreChanged, LeaseGranted, HeartbeatReceived>,
                private state::WriteOwner {
  public:
   struct Ports {
@@ -105,7 +105,7 @@
     net::Client& workers;
     std::function<void()> raise_term;
     std::function<void()> resign;
-    std::function<bool()> peer_heard;
+    std::function<bool()> has_peer_contact;
     std::function<double()> peer_led_at;  // when another controller last said that it leads (steady clock)
     std::function<void(wire::JobProgress)> progress;
   };
@@ -113,12 +113,12 @@
   Leader(runtime::Loop& loop, runtime::Log log, Settings settings, Ports ports);
   void start();
   // Whether this controller may give orders at this moment (invariant 2).
-  bool may_act() const;
+  bool is_active_leader() const;
   bool state_stale() const;
   std::uint64_t term() const { return term_; }
   const model::Job* job(const wire::JobId& id) const;  // nothing: not known
 
-  void on(Changed& message);
+  void on(StoreChanged& message);
   void on(LeaseGranted& message);
   void on(HeartbeatReceived& message);
 
@@ -129,18 +129,18 @@
     std::uint64_t sequence = 0;
     net::HeartbeatReply reply;
   };
-  struct MachineSearch {  // for a task; if no machine was found, why
+  struct MachineSearchResult {  // for a task; if no machine was found, why
     model::Machine* machine = nullptr;
-    bool preempted = false;   // tasks were stopped there for it
-    bool own_reason = false;  // one with room was passed over for a reason that is this task's own
-    bool reserved = false;    // one was that is reserved for another, which only some tasks may use
+    bool preempted = false;             // tasks were stopped there for it
+    bool rejected_for_task = false;     // one with room was passed over for a reason that is this task's own
+    bool rejected_as_reserved = false;  // one was that is reserved for another, which only some tasks may use
   };
   enum class PreemptionState {
-    may_search,   // for tasks to stop
-    room_coming,  // what was stopped before is on its way
-    wait,
+    allowed,  // for tasks to stop
+    pending,  // what was stopped before is on its way
+    deferred,
   };
-  struct PlacementTurn;
+  struct PlacementPass;
   using Jobs = std::map<wire::JobId, model::Job>;
   using Pool = model::Pool;
 
@@ -155,14 +155,14 @@
   model::DependencyInfo dependency_info(const model::Job& job) const;
   model::DependencyInfo dependency_info_of(const wire::JobId& id) const;
   void add_dependencies(model::Job& job);
-  void remove_live(model::Job& job);
+  void remove_live_job(model::Job& job);
   void apply_dependency_updates();
   void fetch_unknown_dependencies();
   void release_job(model::Job& job);
-  void end_unstarted(model::Job& job);
+  void cancel_unstarted_job(model::Job& job);
   void write_cancelled_dependents();
-  wire::JobRecord record_of(const model::Job& job) const;
-  void drop_dependency_parts(const wire::JobId& id, std::uint32_t parts);
+  wire::JobRecord make_job_record(const model::Job& job) const;
+  void delete_dependency_parts(const wire::JobId& id, std::uint32_t parts);
   void collect_dependency_garbage();
   wire::Priority effective_priority(const model::Job& job) const;
   void lead_job(model::Job& job);
@@ -226,7 +226,7 @@
   static wire::Command mark_stopping(model::Assignment& assignment, double grace_period_s);
   void stop_all(const model::Job& job);
   void add_assignment(model::Machine& machine, model::Assignment assignment);
-  void book(const model::Assignment& assignment, double sign);
+  void adjust_allocated_cores(const model::Assignment& assignment, double sign);
   void answer_heartbeat(model::Machine& machine, std::uint64_t counter, const net::HeartbeatReply& reply);
   std::vector<wire::Command> commands_for(model::Machine& machine, std::uint64_t answered_counter);
   void send_command(model::Machine& machine, std::vector<wire::Command> commands, Continuation over = {});
@@ -239,64 +239,65 @@
   void on_preemption_notice(model::Machine& machine, double preemption_notice_s);
 
   // Placement (placement.cpp)
-  void place_soon();
-  void place();
+  void schedule_placement();
+  void run_placement_pass();
   queue::JobQueue::Settings queue_settings() const;
-  queue::JobQueue::Facts queue_facts();
-  void note_overload(double wanted, double lacking);
+  queue::JobQueue::Callbacks queue_callbacks();
+  void update_overload_state(double wanted, double lacking);
   bool may_start(const model::Job& job) const;
-  bool team_has_room(const model::Job& job, std::uint32_t tasks = 1);
+  bool quota_admits(const model::Job& job, std::uint32_t tasks = 1);
   void write_quota(bool lower);
   bool within_guarantee(const model::Job& job) const;
   bool zone_allows(const model::Job& job, const std::string& zone) const;
-  bool unconfirmed_could_hold(const model::Job& job) const;
-  void place_with_next_order();
-  void place_job(const queue::Candidate& candidate, PlacementTurn& turn);
-  void place_tasks(model::Job& job, bool first_only, bool hopeless, PlacementTurn& turn);
-  MachineSearch find_machine(const model::Job& job);
-  bool needs_service_reserve(const model::Job& job) const;
-  void pick(const model::Job& job, bool reclaimable, MachineSearch& search);
-  bool suits(const model::Machine& machine, const model::Job& job, const wire::TaskId& task) const;
-  bool reserved_for_others(const model::Machine& machine, const model::Job& job, wire::Priority priority,
-                           double now) const;
+  bool may_run_on_unconfirmed_machine(const model::Job& job) const;
+  void schedule_pass_at_reorder();
+  void place_job(const queue::Candidate& candidate, PlacementPass& pass);
+  void place_tasks(model::Job& job, bool first_only, bool hopeless, PlacementPass& pass);
+  MachineSearchResult find_machine(const model::Job& job);
+  bool would_use_service_reserve(const model::Job& job) const;
+  void search_machines(const model::Job& job, bool reclaimable, MachineSearchResult& search);
+  bool is_suitable(const model::Machine& machine, const model::Job& job, const wire::TaskId& task) const;
+  bool is_reserved_for_others(const model::Machine& machine, const model::Job& job, wire::Priority priority,
+                              double now) const;
   double image_pull_s(const model::Job& job, const Pool& pool) const;
-  void wait_for_machine(model::Job& job, const MachineSearch& search, bool hopeless, PlacementTurn& turn);
-  void start_task(model::Machine& machine, model::Job& job, std::uint32_t index, PlacementTurn& turn);
+  void on_no_machine_found(model::Job& job, const MachineSearchResult& search, bool hopeless,
+                           PlacementPass& pass);
+  void start_task(model::Machine& machine, model::Job& job, std::uint32_t index, PlacementPass& pass);
   void log_start(const model::Machine& machine, const wire::TaskId& task) const;
-  void note_begun_early(const model::Job& job);
-  void send_starts(PlacementTurn& turn);
+  void record_early_start(const model::Job& job);
+  void send_start_commands(PlacementPass& pass);
   bool reserve_for_backfill(model::Job& job);
-  std::optional<double> has_room_at(const model::Machine& machine, const wire::Resources& request) const;
-  void answer_pending();
-  void assign(model::Machine& machine, model::Job& job, std::uint32_t index);
-  bool crowded(const model::Machine& machine, const model::Job& job) const;
+  std::optional<double> expected_fit_at(const model::Machine& machine, const wire::Resources& request) const;
+  void answer_pending_heartbeats();
+  void assign_task(model::Machine& machine, model::Job& job, std::uint32_t index);
+  bool has_too_many_services(const model::Machine& machine, const model::Job& job) const;
 
-  // Preemption (preempting.cpp)
+  // Preemption (preemption_execution.cpp)
   // For a service that found a machine without its image: `instead_of`.
-  bool preempt(model::Job& job, const model::Machine* instead_of = nullptr);
+  bool preempt_for(model::Job& job, const model::Machine* instead_of = nullptr);
   PreemptionState preemption_state(const model::Job& job) const;
   bool could_preempt_on(const model::Machine& machine, const model::Job& job) const;
-  double longest_stop_s(const PreemptionCandidate& chosen) const;
+  double max_grace_period_s(const PreemptionCandidate& chosen) const;
   double grace_period_s(const wire::JobId& id) const;
   void review_preemptions();
-  double waits_until(const queue::Preemption& preemption, const model::Machine& machine) const;
-  model::Machine* preempted_machine(const model::Job& job);
+  double preemption_deadline(const queue::Preemption& preemption, const model::Machine& machine) const;
+  model::Machine* find_freed_machine(const model::Job& job);
   bool may_reclaim_borrowed(const model::Job& job) const;
   bool could_run_on(const model::Machine& machine, const model::Job& job) const;
   void stop_victims(const PreemptionCandidate& chosen, const model::Job& job);
-  void note_gone(const model::Machine& machine, const model::Assignment& assignment);
+  void on_assignment_removed(const model::Machine& machine, const model::Assignment& assignment);
   void log_ended_preemptions();
 
   // Replicas that span machines (gangs.cpp)
   using CommandsByMachine = std::map<wire::MachineId, std::vector<wire::Command>>;
   void track_gang(const model::Job& job);
-  void follow_policy();
+  void update_gang_spans();
   void apply_gang_actions();
   gang::GangConstraints gang_constraints(const model::Job& job) const;
   int place_gangs(model::Job& job, CommandsByMachine& commands);
   void move_gangs();
   void rent_for_gangs(const std::vector<planner::Offer>& offers);
-  std::uint32_t placeable(const model::Job& job) const;  // ready tasks that can make a replica
+  std::uint32_t placeable_tasks(const model::Job& job) const;  // ready tasks that can make a replica
   void on_gang_machine_draining(const model::Machine& machine);
   void on_gang_machine_failed(const model::Machine& machine);
 
@@ -337,7 +338,7 @@
   state::KeyFetcher fetcher_;  // of jobs that are named and not known
   std::deque<wire::JobId>
       cancelled_dependents_;  // never started, cancelled with one they need: not yet in their records
-  std::map<wire::JobId, model::Job*> live_;
+  std::map<wire::JobId, model::Job*> live_jobs_;
   std::deque<wire::JobId> final_order_;
   std::vector<wire::MachineType> machine_types_;
   std::uint64_t lease_id_ = 0;
@@ -351,7 +352,7 @@
   std::uint64_t first_term_ = 0;           // the fencing token with which the term began
   wire::KeyRevision elected_at_revision_;  // jobs accepted later than this no earlier leader has started
   double term_began_at_ = 0;
-  double unread_leases_until_ =
+  double unreadable_machine_leases_until_ =
       0;  // machines of an earlier leader may run tasks unseen: nothing starts before
   std::uint64_t attempts_ = 0;
   QuotaLedger quota_;
@@ -385,9 +386,9 @@
   double next_progress_ = 0;
   double next_summary_ = 0;
   double last_tick_ = 0;
-  bool place_scheduled_ = false;
+  bool placement_scheduled_ = false;
   runtime::Timer tick_timer_;
-  runtime::Timer place_timer_;
+  runtime::Timer placement_timer_;
 };
 
 }  // namespace bankhill::leader
--- a/src/leader/machine_monitor.cpp
+++ b/src/leader/machine_monitor.cpp
@@ -57,14 +57,14 @@
 void MachineMonitor::count_boot(bool in_time) {
   const double now = loop_.now();
   const double passed_s = now - std::exchange(boots_counted_at_, now);
-  const auto bad = boots_.note(in_time, model::decay(passed_s, settings_.round_s));
+  const auto bad = boots_.record_boot(in_time, model::decay(passed_s, settings_.round_s));
   if (!bad) return;
   if (*bad)
     log_->warn("boots: {:.0f} % of the last {:.0f} machines are late; others are rented in their place",
-               100 * boots_.late_share(), boots_.known());
+               100 * boots_.late_share(), boots_.weighted_count());
   else
     log_->info("boots: as usual again, {:.0f} % of the last {:.0f} machines are late",
-               100 * boots_.late_share(), boots_.known());
+               100 * boots_.late_share(), boots_.weighted_count());
 }
 
 // Heartbeats and the lease.
@@ -111,12 +111,12 @@
 }
 
 double MachineMonitor::unreported_s(const Machine& machine) const {
-  return loop_.now() - std::max({machine.heartbeat_at, term_began_at_, listening_since_});
+  return loop_.now() - std::max({machine.last_heartbeat_received_at, term_began_at_, listening_since_});
 }
 
 // Invariant 5: no earlier leader answered after this term began, so the lease has run out by now.
 bool MachineMonitor::lease_expired(const Machine& machine, double now) const {
-  return now > machine.lease.expired_at(settings_.timing.lease_s);
+  return now > machine.lease.latest_expiry_at(settings_.timing.lease_s);
 }
 
 void MachineMonitor::expire_lease(Machine& machine) {
@@ -131,7 +131,7 @@
     const wire::AgentEpoch next{machine.agent_epoch.value + 1};
     ports_.sessions_over(machine, next);
     machine.agent_epoch = next;
-    machine.sequence = machine.heartbeat_sequence = 0;
+    machine.last_sequence = machine.heartbeat_sequence = 0;
   }
   fleet_.refresh(machine);
 }
@@ -154,7 +154,7 @@
   } else {
     if (before == State::lost) {
       log_->info("machine {}: hears again after {:.0f} s", machine.id.value,
-                 loop_.now() - machine.downlink.since());
+                 loop_.now() - machine.downlink.suspect_since());
       ports_.count_event("deaf machines that hear again");
     }
     machine.restart_idle_time(loop_.now());
@@ -164,8 +164,8 @@
 
 // What it ran is over with its agent epoch; as long as something is bound there it hears after all.
 void MachineMonitor::check_lost_links(Machine& machine, double now) {
-  const bool downlink_lost = machine.downlink.give_up(now, settings_.timing);
-  const bool uplink_lost = failure_detector_.give_up(unreported_s(machine));
+  const bool downlink_lost = machine.downlink.should_terminate(now, settings_.timing);
+  const bool uplink_lost = failure_detector_.should_terminate(unreported_s(machine));
   if (!downlink_lost && !uplink_lost) return;
   if (!machine.assignments.empty() || !machine.confirmed || many_unheard(machine)) return;
   ports_.terminate(machine, downlink_lost ? Fault::downlink_lost : Fault::uplink_lost);
@@ -208,7 +208,7 @@
 
 // Many of a zone at once: rather the network, or us; returned one by one the fleet would be empty.
 bool MachineMonitor::many_unheard(const Machine& machine) const {
-  const auto zone = fleet_.zone(machine.zone);
+  const auto zone = fleet_.zone_totals(machine.zone);
   const auto unheard = zone.overdue + zone.downlink_lost + zone.unconfirmed;
   return unheard >= 2 && static_cast<double>(unheard) > kMassShare * static_cast<double>(zone.up);
 }
--- a/src/leader/machines.cpp
+++ b/src/leader/machines.cpp
@@ -9,7 +9,7 @@
 namespace bankhill::leader {
 
 using model::Machine;
-using queue::task_s;
+using queue::estimated_runtime_s;
 using state::FlushDelay;
 
 // What is left, after so many seconds, of something counted.
@@ -18,17 +18,18 @@
 // How the cutoffs stand, once a round: whoever comes at eight finds either the work done or a plain stall.
 void Leader::look_ahead() {
   forecast_.begin(loop().wall());
-  for (const auto& [id, job] : live_)
+  for (const auto& [id, job] : live_jobs_)
     if (const auto by = queue_.cutoff(*job); by && !job->is_service())
-      forecast_.add(job->spec.team, *by, job->unfinished() * job->spec.request.cores * task_s(*job),
-                    task_s(*job));
+      forecast_.add(job->spec.team, *by,
+                    job->unfinished_tasks() * job->spec.request.cores * estimated_runtime_s(*job),
+                    estimated_runtime_s(*job));
   const auto changed = forecast_.end([this](const std::string& team) { return supply(team); });
   if (changed.empty()) return;
   for (const auto& told : changed)
     log_->log(
         told.state == calendar::DeadlineForecast::State::on_time ? spdlog::level::info : spdlog::level::warn,
         "cutoff of {} in {:.0f} s: {}", told.owner, told.cutoff - loop().wall(), told.text);
-  for (auto& [id, job] : live_)
+  for (auto& [id, job] : live_jobs_)
     if (queue_.cutoff(*job)) job->progress_dirty = true;
 }
 
@@ -40,13 +41,13 @@
   double cores = 0;
   double free = 0;
   for (const auto& [pool, state] : fleet_.pools()) {
-    cores += state.sums.cores;
-    free += state.sums.free_cores;
+    cores += state.totals.cores;
+    free += state.totals.free_cores;
   }
   const double limit = std::max(0.0, tenant->limit.cores - usage.service_cores);
   const double own = std::max(std::min(tenant->guarantee.cores, cores), usage.total.cores + free);
   const double now = std::min(limit, std::max(0.0, own - usage.service_cores));
-  return {now, queue_.overloaded() ? now : limit, planner::longest_boot_s(machine_types_)};
+  return {now, queue_.is_overloaded() ? now : limit, planner::longest_boot_s(machine_types_)};
 }
 
 // Takes no more tasks, and is returned once empty.
@@ -64,19 +65,19 @@
   machine.drain_reason.clear();
   fleet_.refresh(machine);
   for (const auto& [task_id, assignment] : machine.assignments) gangs_.tracker().may_stay(task_id);
-  place_soon();
+  schedule_placement();
   return true;
 }
 
 // After a gap in which this controller answered nobody, leases that it knew to last may end.
 void Leader::note_acting() {
-  if (!lease_forecast_.acting(loop().now())) return;
+  if (!lease_forecast_.record_leading(loop().now())) return;
   for (auto& [machine_id, machine] : fleet_) update_lease_forecast(machine);
 }
 
 // Nothing is started where it would be lost with the lease: the machine's heartbeat comes within seconds.
 void Leader::update_lease_forecast(Machine& machine) {
-  const bool ends = !lease_forecast_.lasts(loop().now(), machine.answered_at);
+  const bool ends = !lease_forecast_.lasts_until_renewal(loop().now(), machine.answered_at);
   if (std::exchange(machine.lease_may_end, ends) == ends) return;
   fleet_.refresh(machine);
   if (ends) {
@@ -84,7 +85,7 @@
     return;
   }
   machine.restart_idle_time(loop().now());
-  place_soon();
+  schedule_placement();
 }
 
 void Leader::monitor_machines(double share) {
@@ -103,7 +104,7 @@
 
 double Leader::boot_s(const Machine& machine) const {
   const auto* type = find_machine_type(machine.machine_type);
-  return type == nullptr ? cloud::kLeastChargeS : type->boot_s;
+  return type == nullptr ? cloud::kMinBillingS : type->boot_s;
 }
 
 MachineMonitor::Ports Leader::monitor_ports() {
@@ -114,11 +115,11 @@
       .drain = [this](Machine& machine, const std::string& reason) { drain(machine, reason); },
       .sessions_over = [this](Machine& machine, wire::AgentEpoch next) { on_new_agent_epoch(machine, next); },
       .lost_to_cloud =
-          [this](const Machine& machine) { autoscaler_.machine_reclaimed(machine.machine_type); },
+          [this](const Machine& machine) { autoscaler_.on_machine_reclaimed(machine.machine_type); },
       .usual_boot_s = [this](const Machine& machine) { return boot_s(machine); },
       .count_event = [this](const std::string& event) { ++event_counts_[event]; },
       .plan_soon = [this] { plan_soon(); },
-      .place_soon = [this] { place_soon(); },
+      .place_soon = [this] { schedule_placement(); },
   };
 }
 
@@ -155,7 +156,7 @@
 
 RentalManager::Ports Leader::rental_ports() {
   RentalManager::Ports ports;
-  ports.may_act = [this] { return may_act(); };
+  ports.is_active_leader = [this] { return is_active_leader(); };
   ports.send_to_cloud = [this](cloud::Cloud::Message message) { ports_.cloud.tell(std::move(message)); };
   ports.machine_type = [this](const std::string& name) { return find_machine_type(name); };
   ports.store_request = [this](const std::string& name, const wire::RentalRecord& record,
@@ -168,8 +169,8 @@
   ports.remove_record = [this](const std::string& name) {
     writes_.store(wire::rental_key(name), std::nullopt, FlushDelay::garbage);
   };
-  ports.terminating = [this](const Machine& machine) { on_gang_machine_failed(machine); };
-  ports.terminated = [this](const wire::MachineId& machine_id) { forget_machine(machine_id); };
+  ports.on_terminating = [this](const Machine& machine) { on_gang_machine_failed(machine); };
+  ports.on_terminated = [this](const wire::MachineId& machine_id) { forget_machine(machine_id); };
   ports.plan_soon = [this] { plan_soon(); };
   ports.count_event = [this](const std::string& event) { ++event_counts_[event]; };
   return ports;
@@ -182,10 +183,10 @@
 
 Autoscaler::Ports Leader::autoscaler_ports() {
   Autoscaler::Ports ports;
-  ports.may_act = [this] { return may_act(); };
+  ports.is_active_leader = [this] { return is_active_leader(); };
   ports.may_start = [this](const model::Job& job) { return may_start(job); };
-  ports.quota_allows = [this](const model::Job& job) { return team_has_room(job); };
-  ports.placeable_tasks = [this](const model::Job& job) { return placeable(job); };
+  ports.quota_allows = [this](const model::Job& job) { return quota_admits(job); };
+  ports.placeable_tasks = [this](const model::Job& job) { return placeable_tasks(job); };
   ports.is_gang = [this](const wire::JobId& id) { return gangs_.follows(id); };
   ports.core_limit = [this](const std::string& name) -> std::optional<double> {
     const auto* owner = quota_.find_team(name);
@@ -193,9 +194,11 @@
     return owner->limit.cores;
   };
   ports.rent_for_gangs = [this](const std::vector<planner::Offer>& offers) { rent_for_gangs(offers); };
-  ports.note_overload = [this](double wanted, double lacking) { note_overload(wanted, lacking); };
+  ports.report_core_demand = [this](double wanted, double lacking) {
+    update_overload_state(wanted, lacking);
+  };
   ports.drain = [this](Machine& machine, const std::string& reason) { drain(machine, reason); };
-  ports.use_again = [this](Machine& machine, const std::string& reason) {
+  ports.cancel_drain = [this](Machine& machine, const std::string& reason) {
     return cancel_drain(machine, reason);
   };
   ports.count_event = [this](const std::string& event) { ++event_counts_[event]; };
@@ -204,7 +207,7 @@
 
 // It is gone, and so is all that ran there.
 void Leader::forget_machine(const wire::MachineId& machine_id) {
-  autoscaler_.machine_terminated(machine_id);
+  autoscaler_.on_machine_terminated(machine_id);
   auto* machine = fleet_.find(machine_id);
   if (machine == nullptr) return;
   std::vector<wire::TaskId> tasks;
@@ -212,7 +215,7 @@
   for (const auto& task : tasks) remove_assignment(*machine, task);
   machine_groups_.remove(*machine);
   fleet_.erase(machine_id);
-  place_soon();
+  schedule_placement();
   plan_soon();
 }
 
--- a/src/leader/preempting.cpp
+++ b/src/leader/preemption_execution.cpp
@@ -8,7 +8,7 @@
 
 using model::Job;
 using model::Machine;
-using queue::task_s;
+using queue::estimated_runtime_s;
 
 namespace {
 // In control intervals.
@@ -24,14 +24,14 @@
 
 // Stops tasks that the selector chooses on one machine, so that a task of the job can start. Says whether
 // room is on its way.
-bool Leader::preempt(Job& job, const Machine* instead_of) {
+bool Leader::preempt_for(Job& job, const Machine* instead_of) {
   const double now = loop().now();
   switch (preemption_state(job)) {
-    case PreemptionState::room_coming:
+    case PreemptionState::pending:
       return true;
-    case PreemptionState::wait:
+    case PreemptionState::deferred:
       return false;
-    case PreemptionState::may_search:
+    case PreemptionState::allowed:
       break;
   }
   job.preemption_tried_at = now;
@@ -48,11 +48,11 @@
   // A part of the fleet at a time, going round: the best of some dozens is hardly worse than the best of all.
   const auto chosen = victim_selector_.choose(fleet_, kMachinesSearched, preemptor, allowed, now);
   if (!chosen) return false;
-  job.preempted_at = now;
+  job.triggered_preemption_at = now;
   const double paces = job.is_service() ? kServiceRoomPaces : kRoomPaces;
   const auto number = preemption_reservations_.reserve(
       job.spec.id, chosen->machine_id, preemptor.priority, job.spec.request, now,
-      now + longest_stop_s(*chosen) + paces * settings_.control_interval_s);
+      now + max_grace_period_s(*chosen) + paces * settings_.control_interval_s);
   log_->debug("preemption {}: makes room on {} for job {} ({}{}{}), {} tasks are stopped", number,
               chosen->machine_id.value, job.spec.id.value, name_of(preemptor.priority),
               job.is_service() ? ", a service" : "", preemptor.reclaims_borrowed ? ", reclaims" : "",
@@ -66,13 +66,14 @@
   const double now = loop().now();
   const wire::TaskId next_task{job.spec.id, job.cursor};
   return !preemption_reservations_.machines().contains(machine.id) && could_run_on(machine, job) &&
-         suits(machine, job, next_task) &&
-         (job.is_service() || backfill_reservations_.allows(machine.id, job.spec.id, now, task_s(job)));
+         is_suitable(machine, job, next_task) &&
+         (job.is_service() ||
+          backfill_reservations_.allows(machine.id, job.spec.id, now, estimated_runtime_s(job)));
 }
 
 double Leader::grace_period_s(const wire::JobId& id) const { return checkpoint_grace_s(jobs_.at(id).spec); }
 
-double Leader::longest_stop_s(const PreemptionCandidate& chosen) const {
+double Leader::max_grace_period_s(const PreemptionCandidate& chosen) const {
   double longest = 0;
   for (const auto& victim : chosen.victims) longest = std::max(longest, grace_period_s(victim.job));
   return longest;
@@ -81,24 +82,24 @@
 // Whether other tasks may be stopped for the job now.
 Leader::PreemptionState Leader::preemption_state(const Job& job) const {
   const double now = loop().now();
-  if (preemption_reservations_.pending(job.spec.id, now)) return PreemptionState::room_coming;
-  if (now - job.preempted_at < settings_.control_interval_s) return PreemptionState::wait;
-  if (job.is_service()) return PreemptionState::may_search;
+  if (preemption_reservations_.is_pending(job.spec.id, now)) return PreemptionState::pending;
+  if (now - job.triggered_preemption_at < settings_.control_interval_s) return PreemptionState::deferred;
+  if (job.is_service()) return PreemptionState::allowed;
   // A batch in a flood is one of thousands that look for room at each event.
   return now - job.preemption_tried_at < kSearchAgain * settings_.control_interval_s
-             ? PreemptionState::wait
-             : PreemptionState::may_search;
+             ? PreemptionState::deferred
+             : PreemptionState::allowed;
 }
 
 // The machine where room was made for the job's task, once it is there.
-Machine* Leader::preempted_machine(const Job& job) {
+Machine* Leader::find_freed_machine(const Job& job) {
   const auto* machine_id = preemption_reservations_.machine_of(job.spec.id, loop().now());
   if (machine_id == nullptr) return nullptr;
   auto* machine = fleet_.find(*machine_id);
   const bool usable = machine != nullptr && machine->takes_tasks() && !machine->overdue &&
                       job.spec.request.fits(machine->available()) &&
-                      suits(*machine, job, {job.spec.id, job.cursor});
-  return usable && preemption_reservations_.machines().at(*machine_id).has_room() ? machine : nullptr;
+                      is_suitable(*machine, job, {job.spec.id, job.cursor});
+  return usable && preemption_reservations_.machines().at(*machine_id).all_victims_gone() ? machine : nullptr;
 }
 
 // Ends what can be used no more, and lets go the jobs that have waited for too long. Few are under way.
@@ -112,29 +113,29 @@
       over.emplace_back(machine_id, queue::PreemptionEnd::machine_lost);
     else if (preemption.phase != queue::PreemptionPhase::bound)
       continue;
-    else if (preemption.has_room() && !preemption.request.fits(machine->available()))
-      over.emplace_back(machine_id, queue::PreemptionEnd::taken);
-    else if (const double limit = waits_until(preemption, *machine); loop().now() > limit)
+    else if (preemption.all_victims_gone() && !preemption.request.fits(machine->available()))
+      over.emplace_back(machine_id, queue::PreemptionEnd::taken_by_higher_priority);
+    else if (const double limit = preemption_deadline(preemption, *machine); loop().now() > limit)
       too_late.push_back(machine_id);
     else
       preemption_reservations_.extend(machine_id, limit);
   }
   for (const auto& [machine_id, how] : over) preemption_reservations_.end(machine_id, how);
-  for (const auto& machine_id : too_late) preemption_reservations_.open(machine_id);
-  if (!over.empty() || !too_late.empty()) place_soon();
+  for (const auto& machine_id : too_late) preemption_reservations_.open_to_others(machine_id);
+  if (!over.empty() || !too_late.empty()) schedule_placement();
 }
 
 // A machine that was heard since carries out the stop, however long its news take; one that was not, or that
 // is known not to hear, may never do it. Counted from what happened, not from now, so that it comes to an
 // end.
-double Leader::waits_until(const queue::Preemption& preemption, const Machine& machine) const {
+double Leader::preemption_deadline(const queue::Preemption& preemption, const Machine& machine) const {
   const double interval = settings_.control_interval_s;
   const bool heard = machine.last_contact > preemption.decided_at && !machine.overdue;
-  if (preemption.has_room())
-    return std::max(preemption.planned_until, preemption.room_at + kRoomPaces * interval);
+  if (preemption.all_victims_gone())
+    return std::max(preemption.planned_expires_at, preemption.vacated_at + kRoomPaces * interval);
   if (heard && !machine.downlink.considered_lost())
-    return std::max(preemption.planned_until, preemption.decided_at + kStopPaces * interval);
-  return preemption.planned_until;
+    return std::max(preemption.planned_expires_at, preemption.decided_at + kStopPaces * interval);
+  return preemption.planned_expires_at;
 }
 
 // Stopped work is mostly lost, and borrowed room comes back by itself as tasks end: taken back by force is
@@ -170,13 +171,13 @@
 }
 
 // A task that is gone may be one that was stopped to make room, or the one that the room was made for.
-void Leader::note_gone(const Machine& machine, const model::Assignment& assignment) {
+void Leader::on_assignment_removed(const Machine& machine, const model::Assignment& assignment) {
   const auto& task = assignment.task;
   if (assignment.state == model::AssignmentState::sent) {
     preemption_reservations_.start_lost(task.job, machine.id,
                                         loop().now() + kLostStartPaces * settings_.control_interval_s);
     // Lost as its job ended, it needs the room no more.
-    if (!live_.contains(task.job)) preemption_reservations_.release(task.job);
+    if (!live_jobs_.contains(task.job)) preemption_reservations_.release(task.job);
   } else {
     preemption_reservations_.start_arrived(task.job, machine.id);
   }
@@ -186,9 +187,9 @@
 
 void Leader::log_ended_preemptions() {
   for (const auto& ended : preemption_reservations_.take_ended()) {
-    ++event_counts_[std::string("preemptions ended: ") + text(ended.end)];
+    ++event_counts_[std::string("preemptions ended: ") + text(ended.reason)];
     log_->debug("preemption {}: for job {} on {} ended: {}, {} tasks not gone", ended.number, ended.job.value,
-                ended.machine_id.value, text(ended.end), ended.victims_left);
+                ended.machine_id.value, text(ended.reason), ended.victims_left);
   }
 }
 
--- a/src/leader/quota_ledger.cpp
+++ b/src/leader/quota_ledger.cpp
@@ -59,13 +59,13 @@
 
 void QuotaLedger::count_cores(const model::Assignment& assignment, Usage& usage, double cores) {
   cores_by_priority_.at(index_of(assignment.priority)) += cores;
-  if (!assignment.service) return;
+  if (!assignment.is_service) return;
   usage.service_cores += cores;
   service_cores_ += cores;
 }
 
 void QuotaLedger::inherited_task_seen(const std::string& team, const wire::Resources& request) {
-  bounds_.seen(team, request);
+  bounds_.inherited_task_seen(team, request);
 }
 
 QuotaLedger::Usage QuotaLedger::usage(const std::string& team) const {
@@ -82,7 +82,7 @@
 wire::Resources QuotaLedger::highest_usage(const std::string& team,
                                            const wire::Resources& unconfirmed_size) const {
   auto total = usage(team).total;
-  total += bounds_.unseen(team, unconfirmed_size);
+  total += bounds_.max_unseen_usage(team, unconfirmed_size);
   total += usage(kUnknownTeam).total;
   return total;
 }
@@ -104,7 +104,7 @@
   const auto* found = find_team(team);
   if (found == nullptr) return false;
   auto total = usage(team).total;
-  if (bounds_.believed()) total += bounds_.unseen(team, unconfirmed_size);
+  if (bounds_.is_record_trusted()) total += bounds_.max_unseen_usage(team, unconfirmed_size);
   total += request;
   return within(total, found->guarantee);
 }
@@ -126,9 +126,9 @@
                                                           std::uint64_t fencing_token, bool may_lower) {
   std::map<std::string, wire::Resources> used;
   for (const auto& team : teams_) used[team.name] = highest_usage(team.name, unconfirmed_size);
-  return bounds_.next(used, fencing_token, may_lower);
+  return bounds_.next_record(used, fencing_token, may_lower);
 }
 
-void QuotaLedger::record_stored() { bounds_.written(); }
+void QuotaLedger::record_stored() { bounds_.record_stored(); }
 
 }  // namespace bankhill::leader
--- a/src/leader/reachability_probe.cpp
+++ b/src/leader/reachability_probe.cpp
@@ -52,7 +52,7 @@
   if (now < next_sample_at_ || sample_.outstanding > 0 || settings_.controllers < 2) return false;
   // A leader that has just begun asks every machine anyway; and two must not pass the leadership to and fro.
   if (now - term_began_at < kTermLeases * settings_.lease_s) return false;
-  return suspicions_ >= kSuspicions || !ports_.peer_heard();
+  return suspicions_ >= kSuspicions || !ports_.has_peer_contact();
 }
 
 // Empty if there are too few.
@@ -122,7 +122,7 @@
   if (2 * sample_.uplink_lost > sample_.unanswered) return false;
   // One that hears no peer is on the smaller side of a partition: there is nobody from whom more could be
   // learned, and those that are not reached are soon no part of the sample any more.
-  if (!ports_.peer_heard()) return false;
+  if (!ports_.has_peer_contact()) return false;
   return now - *failing_since_ < kEvidenceWaits * net::kWorkerResponseTimeoutS;
 }
 
--- a/src/leader/reachability_probe.hpp
+++ b/src/leader/reachability_probe.hpp
@@ -42,7 +42,7 @@
     // Nothing if the machine is no longer known: it then counts as one that answered.
     std::function<std::optional<MachineState>(const wire::MachineId& machine_id)> machine_state;
     // Whether any other controller is heard.
-    std::function<bool()> peer_heard;
+    std::function<bool()> has_peer_contact;
     std::function<void()> resign;
   };
 
--- a/src/leader/records.cpp
+++ b/src/leader/records.cpp
@@ -17,7 +17,7 @@
 
 bool Leader::is_stray(const std::string& key) const {
   if (key.starts_with(wire::kRentalKeyPrefix + rental_manager_.name_prefix()))
-    return !rental_manager_.knows(key.substr(wire::kRentalKeyPrefix.size()));
+    return !rental_manager_.has_rental(key.substr(wire::kRentalKeyPrefix.size()));
   return machine_groups_.is_dropped(key) || completion_bitmaps_.is_dropped(key);
 }
 
@@ -38,7 +38,7 @@
   return state::WritePreparation::ready;
 }
 
-bool Leader::may_write() const { return may_act(); }
+bool Leader::may_write() const { return is_active_leader(); }
 
 const Job* Leader::recorded_job(const std::string& key) const {
   const auto found = jobs_.find(wire::JobId{key.substr(wire::kJobKeyPrefix.size())});
@@ -55,7 +55,7 @@
 bool Leader::is_final(const std::string& key) const {
   if (!key.starts_with(wire::kJobKeyPrefix)) return false;
   const auto* found = recorded_job(key);
-  return found == nullptr || found->ended();
+  return found == nullptr || found->has_ended();
 }
 
 // What a job's record holds is known from its phase alone (is_final).
@@ -71,7 +71,7 @@
 bool Leader::is_urgent(const std::string& key) const {
   if (key.starts_with(wire::kRentalKeyPrefix) || key == wire::kQuotaKey) return true;
   return key.starts_with(wire::kJobKeyPrefix) &&
-         dependencies_.awaited(wire::JobId{key.substr(wire::kJobKeyPrefix.size())});
+         dependencies_.has_dependents(wire::JobId{key.substr(wire::kJobKeyPrefix.size())});
 }
 
 void Leader::apply_committed(const state::Change& change) {
@@ -87,7 +87,7 @@
 }
 
 void Leader::record_machine(model::Machine& machine) {
-  if (std::exchange(machine.recording, true)) return;
+  if (std::exchange(machine.record_pending, true)) return;
   // Invariant 4: it takes tasks only once this is committed.
   machine_groups_.add(machine, [this, machine_id = machine.id] {
     auto* found = fleet_.find(machine_id);
@@ -96,7 +96,7 @@
     // No earlier leader could use it: it needs no confirmation (invariant 5).
     found->confirmed = found->confirmed || !found->inherited;
     fleet_.refresh(*found);
-    place_soon();
+    schedule_placement();
   });
 }
 
--- a/src/leader/rental_manager.cpp
+++ b/src/leader/rental_manager.cpp
@@ -72,7 +72,7 @@
     if (!rental.record.machine_ids) call(rental.record);
 }
 
-bool RentalManager::any_requested() const {
+bool RentalManager::has_pending_rental() const {
   return std::any_of(rentals_.begin(), rentals_.end(),
                      [](const auto& entry) { return !entry.second.record.machine_ids; });
 }
@@ -98,7 +98,8 @@
   std::vector<std::string> zones;
   for (const auto& each : machine_type.zones) {
     if (!zone.empty() && each != zone) continue;
-    if (capacity_backoff_.may_ask({machine_type.name, each, preemptible}, loop_.now())) zones.push_back(each);
+    if (capacity_backoff_.can_request({machine_type.name, each, preemptible}, loop_.now()))
+      zones.push_back(each);
   }
   // Services stand on steady machines. A cut between the zones, or of the smaller one, takes those that are
   // not where the leader will be: steady machines are rented there as long as there are any.
@@ -106,7 +107,7 @@
     return {settings_.main_zone};
   // Evenly over the zones, beginning with the one that has the fewest.
   std::map<std::string, double> cores;
-  for (const auto& [pool, state] : fleet_.pools()) cores[pool.zone] += state.sums.cores;
+  for (const auto& [pool, state] : fleet_.pools()) cores[pool.zone] += state.totals.cores;
   std::sort(zones.begin(), zones.end(),
             [&](const std::string& a, const std::string& b) { return cores[a] < cores[b]; });
   return zones;
@@ -129,7 +130,7 @@
   // The cloud gives so many a request, and so many requests at a time are enough to see whether it has
   // them. One that had none is asked once, to see whether it has some again: eight refusals for each of its
   // types used up the cloud's requests, and hid from the plan that others must be rented.
-  const int most_requests = capacity_backoff_.doubtful(pool) ? 1 : kRequestsAtOnce;
+  const int most_requests = capacity_backoff_.had_stockout(pool) ? 1 : kRequestsAtOnce;
   double requested = 0;
   for (int made = 0; made < most_requests && count >= 1; ++made) {
     const auto machines = static_cast<std::uint32_t>(std::min<double>(count, cloud::kMaxMachinesPerRental));
@@ -155,7 +156,7 @@
   const auto found = rentals_.find(name);
   if (found == rentals_.end()) return;
   auto& rental = found->second;
-  rental.request_sent = ports_.may_act();
+  rental.request_sent = ports_.is_active_leader();
   if (!rental.request_sent) return;
   ports_.send_to_cloud(cloud::Rent{
       name, rental.record,
@@ -172,11 +173,11 @@
   const model::Pool pool{rental.record.machine_type, rental.record.zone, rental.record.preemptible};
   if (result.status == cloud::RentalResult::Status::no_capacity ||
       result.machines.size() < rental.record.count) {
-    capacity_backoff_.note(pool, loop_.now(), settings_.round_s);
+    capacity_backoff_.record_stockout(pool, loop_.now(), settings_.round_s);
     log_->info("rental {}: {} of {} to be had", name, result.machines.size(), rental.record.count);
     ports_.plan_soon();
   } else {
-    capacity_backoff_.over(pool);
+    capacity_backoff_.reset(pool);
   }
   if (result.machines.empty()) return close(name);
   rental.record.machine_ids.emplace();
@@ -203,7 +204,7 @@
   for (auto& [name, rental] : rentals_) {
     if (rental.record.machine_ids) {
       if (add_machines(rental, name.starts_with(own_prefix))) completed.push_back(name);
-    } else if (!rental.request_sent && now >= rental.retry_at && ports_.may_act()) {
+    } else if (!rental.request_sent && now >= rental.retry_at && ports_.is_active_leader()) {
       // A new leader repeats open rentals to learn their machines.
       send_request(name);
     }
@@ -242,14 +243,14 @@
   log_->debug("machine {}: releasing it, {} ({} tasks bound)", machine.id.value, reason,
               machine.assignments.size());
   ports_.count_event("machines released (" + reason + ")");
-  ports_.terminating(machine);
+  ports_.on_terminating(machine);
   to_terminate_.insert(machine.id);
   fleet_.refresh(machine);
   loop_.post(while_alive([this] { send_terminations(); }));
 }
 
 void RentalManager::send_terminations() {
-  if (termination_sent_ || !ports_.may_act()) return;
+  if (termination_sent_ || !ports_.is_active_leader()) return;
   std::vector<wire::MachineId> batch;
   for (const auto& machine_id : to_terminate_)
     if (batch.size() < cloud::kMaxTerminations) batch.push_back(machine_id);
@@ -265,7 +266,7 @@
 void RentalManager::handle_terminated(const wire::MachineId& machine_id) {
   to_terminate_.erase(machine_id);
   terminated_.add(machine_id, loop_.now());
-  ports_.terminated(machine_id);
+  ports_.on_terminated(machine_id);
 }
 
 void RentalManager::request_list() {
@@ -276,7 +277,7 @@
   ports_.send_to_cloud(
       cloud::ListMachines{in_this_term([this](const std::optional<std::vector<wire::ListedMachine>>& listed) {
         list_requested_ = false;
-        if (!listed || !ports_.may_act()) return;
+        if (!listed || !ports_.is_active_leader()) return;
         for (const auto& machine : *listed) reconcile_listed(machine);
       })});
 }
--- a/src/leader/rental_manager.hpp
+++ b/src/leader/rental_manager.hpp
@@ -55,7 +55,7 @@
 
   // What it needs of the leader.
   struct Ports {
-    std::function<bool()> may_act;  // invariant 2
+    std::function<bool()> is_active_leader;  // invariant 2
     std::function<void(cloud::Cloud::Message)> send_to_cloud;
     // The type of that name in the catalogue; nothing if it is not there.
     std::function<const wire::MachineType*(const std::string& name)> machine_type;
@@ -68,8 +68,8 @@
     std::function<void(const std::string& name)> remove_record;
 
     // A machine is about to be terminated; it is gone.
-    std::function<void(const model::Machine&)> terminating;
-    std::function<void(const wire::MachineId&)> terminated;
+    std::function<void(const model::Machine&)> on_terminating;
+    std::function<void(const wire::MachineId&)> on_terminated;
 
     std::function<void()> plan_soon;
     std::function<void(const std::string& event)> count_event;  // for the summary in the log
@@ -103,10 +103,10 @@
 
   // Calls for each rental whose machines are not known yet.
   void visit_requested(const std::function<void(const wire::RentalRecord&)>& call) const;
-  bool any_requested() const;
+  bool has_pending_rental() const;
 
-  std::size_t size() const { return rentals_.size(); }
-  bool knows(const std::string& name) const { return rentals_.contains(name); }
+  std::size_t rental_count() const { return rentals_.size(); }
+  bool has_rental(const std::string& name) const { return rentals_.contains(name); }
   // With which the names of this term's rentals begin.
   std::string name_prefix() const;
 
--- a/src/leader/preemption.cpp
+++ b/src/leader/victim_selector.cpp
@@ -1,4 +1,4 @@
-#include "leader/preemption.hpp"
+#include "leader/victim_selector.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -12,7 +12,7 @@
 // Seconds that a task of the job will still run. Services do not end.
 double remaining_s(const model::Job& job, const model::Assignment& assignment, double now) {
   if (job.is_service()) return std::numeric_limits<double>::max();
-  return queue::task_s(job) - assignment.running_s(now);
+  return queue::estimated_runtime_s(job) - assignment.running_s(now);
 }
 
 // Its start may still be on its way, and a stop that overtakes it stops nothing.
@@ -77,12 +77,13 @@
   if (is_start_in_flight(assignment)) return false;
   if (checkpoint_grace_s(victim.spec) > preemptor.longest_stop_s) return false;
   // Placed before all batches for its long wait and stopped for one of them, it would be placed first again.
-  if (assignment.begun_before_others && !preemptor.job.is_service()) return false;
-  if (dependencies_.priority(victim.spec.id, victim.spec.priority) < preemptor.priority) return true;
+  if (assignment.started_for_long_wait && !preemptor.job.is_service()) return false;
+  if (dependencies_.effective_priority(victim.spec.id, victim.spec.priority) < preemptor.priority)
+    return true;
   if (!preemptor.reclaims_borrowed || assignment.team == preemptor.job.spec.team) return false;
   // A team's services count towards its guarantee first: it is its batches that borrow. Stopped for that,
   // services were down all day while their team's batches went on (lakaskalk-grown).
-  if (!quota_.borrows(assignment.team, assignment.service)) return false;
+  if (!quota_.borrows(assignment.team, assignment.is_service)) return false;
   return remaining_s(victim, assignment, now) > long_task_s_;
 }
 
--- a/src/model/agent_lease.hpp
+++ b/src/model/agent_lease.hpp
@@ -19,9 +19,9 @@
 class AgentLease {
  public:
   // It may have been lengthened until now: an answer, an agent epoch that began unseen, an earlier leader.
-  void renewed_at(double now) { renewed_ = std::max(renewed_, now); }
+  void record_renewal(double now) { renewed_ = std::max(renewed_, now); }
   // From here on the tasks of this agent epoch are gone, whatever cannot be reached or hangs.
-  double expired_at(double lease_s) const { return renewed_ + lease_s * kDriftAllowance + kAllowanceS; }
+  double latest_expiry_at(double lease_s) const { return renewed_ + lease_s * kDriftAllowance + kAllowanceS; }
 
  private:
   double renewed_ = 0;
@@ -30,23 +30,25 @@
 // Starts of one attempt that were sent and may still be executed.
 class InFlightStarts {
  public:
-  void sent_directly() { ++unanswered_; }
+  void record_direct_start() { ++unanswered_; }
   // A direct start was answered, or given up and may arrive as long as its fencing token is not below what
   // the worker has seen.
-  void direct_ended(wire::FencingToken fencing_token, bool answered) {
+  void record_direct_result(wire::FencingToken fencing_token, bool answered) {
     unanswered_ = std::max(0, unanswered_ - 1);
     if (!answered) doubt_ = std::max(doubt_, fencing_token);
   }
   // The answer to the heartbeat of this counter carried it.
-  void sent_with_answer(std::uint64_t counter) { answered_counter_ = counter; }
+  void record_response_start(std::uint64_t counter) { answered_counter_ = counter; }
   // Whether this heartbeat, not a direct answer, was sent after the worker had that answer, or lost it.
-  bool shown_by(std::uint64_t counter) const { return answered_counter_ != 0 && answered_counter_ < counter; }
-  bool directs_over(wire::FencingToken seen) const {
+  bool is_reflected_in(std::uint64_t counter) const {
+    return answered_counter_ != 0 && answered_counter_ < counter;
+  }
+  bool direct_starts_settled(wire::FencingToken seen) const {
     return unanswered_ == 0 && (doubt_.value == 0 || doubt_ < seen);
   }
   // Nothing: a direct answer, which shows nothing of it.
-  bool answer_over(std::optional<std::uint64_t> counter) const {
-    return answered_counter_ == 0 || (counter && shown_by(*counter));
+  bool response_start_settled(std::optional<std::uint64_t> counter) const {
+    return answered_counter_ == 0 || (counter && is_reflected_in(*counter));
   }
   bool in_doubt(wire::FencingToken fencing_token) const { return doubt_ == fencing_token; }
 
--- a/src/model/boot_statistics.cpp
+++ b/src/model/boot_statistics.cpp
@@ -8,10 +8,10 @@
 constexpr double kKnown = 5;
 }  // namespace
 
-std::optional<bool> BootStatistics::note(bool in_time, double rest) {
+std::optional<bool> BootStatistics::record_boot(bool in_time, double rest) {
   in_time_ = in_time_ * rest + (in_time ? 1 : 0);
   late_ = late_ * rest + (in_time ? 0 : 1);
-  if (known() < kKnown) return std::nullopt;
+  if (weighted_count() < kKnown) return std::nullopt;
   const bool bad = late_share() > (bad_ ? kBad / 2 : kBad);
   if (bad == bad_) return std::nullopt;
   bad_ = bad;
--- a/src/model/boot_statistics.hpp
+++ b/src/model/boot_statistics.hpp
@@ -9,9 +9,9 @@
  public:
   // One was in time or late; `rest`: the part that what was counted before still counts. Returns what is new:
   // that boots are bad by now, or are as usual again.
-  std::optional<bool> note(bool in_time, double rest);
-  double known() const { return in_time_ + late_; }
-  double late_share() const { return late_ / known(); }
+  std::optional<bool> record_boot(bool in_time, double rest);
+  double weighted_count() const { return in_time_ + late_; }
+  double late_share() const { return late_ / weighted_count(); }
 
  private:
   double in_time_ = 0;
--- a/src/model/cancellation_bound.cpp
+++ b/src/model/cancellation_bound.cpp
@@ -22,12 +22,12 @@
 
 double CancellationBound::leader_ttl_s() const { return kTtlShare * (cancel_s_ - lease_s_); }
 
-double CancellationBound::gone_within_s() const {
+double CancellationBound::worst_case_removal_s() const {
   return (read_age_s_ + lease_s_) * kDriftAllowance + answer_s_ + kAllowanceS;
 }
 
-bool CancellationBound::holds() const {
-  return read_age_s_ >= kLeastReadAgeS && gone_within_s() <= cancel_s_;
+bool CancellationBound::is_feasible() const {
+  return read_age_s_ >= kLeastReadAgeS && worst_case_removal_s() <= cancel_s_;
 }
 
 std::string CancellationBound::describe() const {
@@ -35,7 +35,7 @@
       "a cancelled task is gone within {:.1f} of {:.1f} s: {:.1f} since the leader last read the state, "
       "{:.1f} "
       "for a report under way, {:.1f} of the worker's lease, {:.1f} for drift and late ends",
-      gone_within_s(), cancel_s_, read_age_s_, answer_s_, lease_s_,
+      worst_case_removal_s(), cancel_s_, read_age_s_, answer_s_, lease_s_,
       (read_age_s_ + lease_s_) * (kDriftAllowance - 1) + kAllowanceS);
 }
 
--- a/src/model/cancellation_bound.hpp
+++ b/src/model/cancellation_bound.hpp
@@ -1,6 +1,6 @@
 // How long a task of a cancelled job can still be on a machine, computed once from the platform's settings
 // (docs/SAFETY.md, invariant 34). What limits the leader's validity follows from it.
-// Units: seconds. Errors: none thrown; settings for which it cannot hold say so by holds().
+// Units: seconds. Errors: none thrown; settings for which it cannot hold say so by is_feasible().
 // Source: PROTOCOL, "Leases", "Outages and cuts" and the rule ran_cancelled.
 #pragma once
 
@@ -21,12 +21,12 @@
 
   // The age that the leader's last read barrier may have, counted from its sending: a leader whose knowledge
   // is older extends no worker's lease. It is cut where the settings leave less.
-  double read_age_s() const { return read_age_s_; }
+  double max_read_age_s() const { return read_age_s_; }
   // Time-to-live of the leader's lease: well within it, so that another takes over in time.
   double leader_ttl_s() const;
   // From the commit of a cancellation to the last moment at which a task of it can be on a machine.
-  double gone_within_s() const;
-  bool holds() const;
+  double worst_case_removal_s() const;
+  bool is_feasible() const;
   // The sum in words.
   std::string describe() const;
 
--- a/src/model/capacity_backoff.hpp
+++ b/src/model/capacity_backoff.hpp
@@ -11,11 +11,11 @@
 class CapacityBackoff {
  public:
   // It had less than was asked for; pauses double from a part of a round to some rounds.
-  void note(const Pool& pool, double now, double round_s);
-  void over(const Pool& pool) { known_.erase(pool); }
-  bool may_ask(const Pool& pool, double now) const;
+  void record_stockout(const Pool& pool, double now, double round_s);
+  void reset(const Pool& pool) { known_.erase(pool); }
+  bool can_request(const Pool& pool, double now) const;
   // It had none the last time.
-  bool doubtful(const Pool& pool) const { return known_.contains(pool); }
+  bool had_stockout(const Pool& pool) const { return known_.contains(pool); }
   void clear() { known_.clear(); }
 
  private:
--- a/src/model/dependency_graph.cpp
+++ b/src/model/dependency_graph.cpp
@@ -66,7 +66,7 @@
   raise(id);
 }
 
-void DependencyGraph::learn(const JobId& id, const DependencyInfo& fact) {
+void DependencyGraph::update(const JobId& id, const DependencyInfo& fact) {
   const auto found = nodes_.find(id);
   if (found == nodes_.end()) return;
   auto& node = found->second;
@@ -163,7 +163,7 @@
   if (higher) node.priority = later.priority;
   const bool sooner = later.goal.latest() - later.info.duration_s < node.goal.latest();
   if (sooner)
-    node.goal = {later.goal.last, later.goal.deadline_at, later.goal.rest_s + later.info.duration_s};
+    node.goal = {later.goal.job_id, later.goal.deadline_at, later.goal.downstream_s + later.info.duration_s};
   return higher || sooner;
 }
 
@@ -185,19 +185,19 @@
   nodes_.erase(found);
 }
 
-bool DependencyGraph::ready(const JobId& id) const {
+bool DependencyGraph::is_ready(const JobId& id) const {
   const auto* node = find(id);
   return node == nullptr || (node->open == 0 && !node->cancelled);
 }
 
-bool DependencyGraph::cancelled(const JobId& id) const {
+bool DependencyGraph::is_cancelled(const JobId& id) const {
   const auto* node = find(id);
   return node != nullptr && node->cancelled;
 }
 
 // One unknown job must leave those that do not need it alone.
-bool DependencyGraph::maybe_cancelled(const JobId& id) const {
-  if (unknown_ == 0 || ready(id) || cancelled(id)) return false;
+bool DependencyGraph::may_be_cancelled(const JobId& id) const {
+  if (unknown_ == 0 || is_ready(id) || is_cancelled(id)) return false;
   std::set<JobId> seen{id};
   std::vector<JobId> look{id};
   while (!look.empty()) {
@@ -210,12 +210,12 @@
   return false;
 }
 
-bool DependencyGraph::accepted(const JobId& id) const {
+bool DependencyGraph::was_accepted(const JobId& id) const {
   const auto* node = find(id);
   return node != nullptr && node->info.state != State::unknown && node->info.state != State::missing;
 }
 
-bool DependencyGraph::awaited(const JobId& id) const {
+bool DependencyGraph::has_dependents(const JobId& id) const {
   const auto* node = find(id);
   return node != nullptr && !node->dependents.empty();
 }
@@ -230,18 +230,18 @@
   return node == nullptr ? 0 : node->ready_at;
 }
 
-wire::Priority DependencyGraph::priority(const JobId& id, wire::Priority own) const {
+wire::Priority DependencyGraph::effective_priority(const JobId& id, wire::Priority own) const {
   const auto* node = find(id);
   return node == nullptr ? own : std::max(own, node->priority);
 }
 
-DependencyGraph::Goal DependencyGraph::goal(const JobId& id) const {
+DependencyGraph::Goal DependencyGraph::effective_deadline(const JobId& id) const {
   const auto* node = find(id);
   return node == nullptr ? Goal{} : node->goal;
 }
 
-std::vector<JobId> DependencyGraph::open_dependencies(const JobId& id, std::size_t most,
-                                                      std::size_t& count) const {
+std::vector<JobId> DependencyGraph::unmet_dependencies(const JobId& id, std::size_t most,
+                                                       std::size_t& count) const {
   std::vector<JobId> open;
   count = 0;
   const auto* node = find(id);
--- a/src/model/dependency_graph.hpp
+++ b/src/model/dependency_graph.hpp
@@ -42,10 +42,10 @@
   };
   // For whom a job is needed first.
   struct Goal {
-    wire::JobId last;  // whose deadline it is; empty: none
+    wire::JobId job_id;  // whose deadline it is; empty: none
     double deadline_at = std::numeric_limits<double>::infinity();
-    double rest_s = 0;  // from the end of this job to the end of that one
-    double latest() const { return deadline_at - rest_s; }
+    double downstream_s = 0;  // from the end of this job to the end of that one
+    double latest() const { return deadline_at - downstream_s; }
     bool operator==(const Goal&) const = default;
   };
   using LookUp = std::function<DependencyInfo(const wire::JobId&)>;
@@ -55,30 +55,30 @@
   void add(const wire::JobId& id, const DependencyInfo& fact, const std::vector<wire::JobId>& needs,
            bool incomplete, const LookUp& look_up);
   // A record of any job was read. Costs a look if nobody waits for it.
-  void learn(const wire::JobId& id, const DependencyInfo& fact);
+  void update(const wire::JobId& id, const DependencyInfo& fact);
   // What has changed since the last call.
   Updates take_updates() { return std::exchange(updates_, {}); }
   // Jobs of which nothing is known, to be read by the caller; each is named once.
   std::vector<wire::JobId> take_unknown();
 
   // Whether everything that it needs is done.
-  bool ready(const wire::JobId& id) const;
-  bool cancelled(const wire::JobId& id) const;
+  bool is_ready(const wire::JobId& id) const;
+  bool is_cancelled(const wire::JobId& id) const;
   // Whether something that it needs, directly or through others, is still to be read, so that a job that
   // waits may be over without our knowing. Costs a walk over what it needs while anything at all is unknown.
-  bool maybe_cancelled(const wire::JobId& id) const;
+  bool may_be_cancelled(const wire::JobId& id) const;
   // Whether the graph knows that the job was accepted once.
-  bool accepted(const wire::JobId& id) const;
-  bool awaited(const wire::JobId& id) const;  // by a job that is not over
+  bool was_accepted(const wire::JobId& id) const;
+  bool has_dependents(const wire::JobId& id) const;  // by a job that is not over
   // Jobs accepted or finished later than this no earlier leader has started.
   wire::KeyRevision ready_revision(const wire::JobId& id) const;
   double ready_at(const wire::JobId& id) const;  // time of day; 0: not known
   // The highest rank among the job and what needs it.
-  wire::Priority priority(const wire::JobId& id, wire::Priority own) const;
-  Goal goal(const wire::JobId& id) const;
+  wire::Priority effective_priority(const wire::JobId& id, wire::Priority own) const;
+  Goal effective_deadline(const wire::JobId& id) const;
   // Up to `most` jobs that it still waits for directly, and how many there are.
-  std::vector<wire::JobId> open_dependencies(const wire::JobId& id, std::size_t most,
-                                             std::size_t& count) const;
+  std::vector<wire::JobId> unmet_dependencies(const wire::JobId& id, std::size_t most,
+                                              std::size_t& count) const;
   std::size_t size() const { return nodes_.size(); }
 
  private:
--- a/src/model/downlink_health.cpp
+++ b/src/model/downlink_health.cpp
@@ -85,7 +85,7 @@
   ++unanswered_;
 }
 
-bool DownlinkHealth::give_up(double now, const HeartbeatTiming& times) const {
+bool DownlinkHealth::should_terminate(double now, const HeartbeatTiming& times) const {
   return state_ == State::lost && now - since_ > kGiveUpLeases * times.lease_s;
 }
 
--- a/src/model/downlink_health.hpp
+++ b/src/model/downlink_health.hpp
@@ -48,13 +48,13 @@
   // Asked in vain more than once: others are rented in its place.
   bool considered_lost() const { return state_ == State::lost && unanswered_ >= kLostAfterProbes; }
   // To be returned to the cloud.
-  bool give_up(double now, const HeartbeatTiming& times) const;
-  double since() const { return since_; }  // steady clock: when it became suspect
+  bool should_terminate(double now, const HeartbeatTiming& times) const;
+  double suspect_since() const { return since_; }  // steady clock: when it became suspect
 
   // When a heartbeat last showed that an answer of a peer was heard, or lost: tells a leader that is not
   // heard from machines that do not hear.
-  double heard_by_peer() const { return heard_by_peer_; }
-  double lost_by_peer() const { return lost_by_peer_; }
+  double peer_response_received_at() const { return heard_by_peer_; }
+  double peer_response_lost_at() const { return lost_by_peer_; }
 
  private:
   static constexpr std::uint32_t kLostAfterProbes = 2;
--- a/src/model/failure_detector.cpp
+++ b/src/model/failure_detector.cpp
@@ -51,7 +51,7 @@
          times_.heartbeat_interval_s;
 }
 
-bool FailureDetector::give_up(double unreported_s) const {
+bool FailureDetector::should_terminate(double unreported_s) const {
   return uplink_state(unreported_s) == UplinkState::lost && unreported_s > kGiveUpLeases * times_.lease_s;
 }
 
--- a/src/model/failure_detector.hpp
+++ b/src/model/failure_detector.hpp
@@ -33,7 +33,7 @@
   Thresholds thresholds(const Observation& machine) const;
   UplinkState uplink_state(double unreported_s) const;
   // For so long that it is returned.
-  bool give_up(double unreported_s) const;
+  bool should_terminate(double unreported_s) const;
 
  private:
   double round_s() const;  // that a worker takes which no controller answers
--- a/src/model/fleet.cpp
+++ b/src/model/fleet.cpp
@@ -114,11 +114,11 @@
   auto& listed = machine.index_entry;
   if (!listed) return;
   auto& pool = *listed->pool;
-  subtract(pool.sums, listed->part);
+  subtract(pool.totals, listed->part);
   subtract(total_, listed->part);
   if (listed->open) {
     const Slot slot{listed->cores, machine.number, &machine};
-    pool.open.erase(slot);
+    pool.free_slots.erase(slot);
     for (const auto& image : machine.images) pool.with_image[image].erase(slot);
   }
   listed.reset();
@@ -130,14 +130,14 @@
   auto& state = pool->second;
   state.capacity = machine.capacity;
   IndexEntry listed{&state, part_of(machine), false, 0};
-  state.sums += listed.part;
+  state.totals += listed.part;
   total_ += listed.part;
   const auto room = machine.available();
   if (machine.takes_tasks() && !machine.overdue && room.cores > kRounding) {
     listed.open = true;
     listed.cores = room.cores;
     const Slot slot{room.cores, machine.number, &machine};
-    state.open.insert(slot);
+    state.free_slots.insert(slot);
     for (const auto& image : machine.images) state.with_image[image].insert(slot);
   }
   machine.index_entry = listed;
@@ -166,14 +166,14 @@
               call);
 }
 
-FleetTotals Fleet::zone(const std::string& zone) const {
+FleetTotals Fleet::zone_totals(const std::string& zone) const {
   FleetTotals sums;
   for (const auto& [pool, state] : pools_)
-    if (pool.zone == zone) sums += state.sums;
+    if (pool.zone == zone) sums += state.totals;
   return sums;
 }
 
-Machine* Fleet::pick(Choice& choice) {
+Machine* Fleet::find_best(MachineQuery& choice) {
   using Score = std::tuple<double, double, double, std::uint64_t>;
   std::optional<Score> best_score;
   Machine* best = nullptr;
@@ -189,21 +189,21 @@
       if (best_score && score >= *best_score) return;
       if (!request.fits(slot->machine->available())) continue;
       if (!choice.suits(*slot->machine)) {
-        choice.passed_over = true;
+        choice.skipped_any = true;
         continue;
       }
       best_score = score;
       best = slot->machine;
       return;
     }
-    if (left == 0) choice.passed_over = true;
+    if (left == 0) choice.skipped_any = true;
   };
   for (const auto& [pool, state] : pools_) {
     ++steps_;
     if (pool.preemptible != choice.preemptible || !allows(choice.spec, pool)) continue;
     if (const auto image = state.with_image.find(choice.spec.image); image != state.with_image.end())
       look(image->second, choice.zone_penalty_s(pool), state.capacity.cores);
-    look(state.open, choice.image_pull_s(pool) + choice.zone_penalty_s(pool), state.capacity.cores);
+    look(state.free_slots, choice.image_pull_s(pool) + choice.zone_penalty_s(pool), state.capacity.cores);
   }
   return best;
 }
--- a/src/model/fleet.hpp
+++ b/src/model/fleet.hpp
@@ -32,9 +32,9 @@
 };
 
 struct PoolState {
-  FleetTotals sums;
+  FleetTotals totals;
   wire::Resources capacity;  // of one machine
-  std::set<Slot> open;
+  std::set<Slot> free_slots;
   std::map<std::string, std::set<Slot>> with_image;
 };
 
@@ -62,20 +62,21 @@
 
   const std::map<Pool, PoolState>& pools() const { return pools_; }
   const FleetTotals& total() const { return total_; }
-  FleetTotals zone(const std::string& zone) const;
+  FleetTotals zone_totals(const std::string& zone) const;
 
   // Machines that may take a task of a job, best first: `fetch_s` says how long a pool's machines take to
-  // fetch the image, `suits` has the last word. `passed` tells whether a machine with room was passed over.
-  struct Choice {
+  // fetch the image, `suits` has the last word. `skipped_any` tells whether a machine with room was passed
+  // over.
+  struct MachineQuery {
     const wire::JobSpec& spec;
     bool preemptible = false;
     bool small_first = false;  // of equals, the smaller machine
     std::function<double(const Pool&)> image_pull_s;
     std::function<double(const Pool&)> zone_penalty_s;  // seconds that being in another pool is worth
     std::function<bool(const Machine&)> suits;
-    bool passed_over = false;
+    bool skipped_any = false;
   };
-  Machine* pick(Choice& choice);
+  Machine* find_best(MachineQuery& choice);
 
   // Machines and pools looked at so far, to show that work per task does not grow with the fleet.
   std::uint64_t steps() const { return steps_; }
--- a/src/model/job.cpp
+++ b/src/model/job.cpp
@@ -4,29 +4,29 @@
 
 namespace bankhill::model {
 
-void Job::reset_marks() {
-  marks.assign(spec.task_count, kReady);
-  ready = spec.task_count;
-  assigned = finished = running = cursor = 0;
+void Job::reset_task_progress() {
+  task_progress.assign(spec.task_count, kTaskReady);
+  ready_count = spec.task_count;
+  assigned_count = finished_count = running_count = cursor = 0;
   task_machines.clear();
   tasks_by_zone.clear();
   completion_buckets.clear();
 }
 
-void Job::set_mark(std::uint32_t index, TaskMark mark) {
+void Job::set_task_progress(std::uint32_t index, TaskMark mark) {
   auto count = [this](char of) -> std::uint32_t& {
-    return of == kReady ? ready : of == kAssigned ? assigned : finished;
+    return of == kTaskReady ? ready_count : of == kTaskAssigned ? assigned_count : finished_count;
   };
-  --count(marks[index]);
+  --count(task_progress[index]);
   ++count(mark);
-  marks[index] = mark;
-  if (mark == kReady) cursor = std::min(cursor, index);
+  task_progress[index] = mark;
+  if (mark == kTaskReady) cursor = std::min(cursor, index);
   progress_dirty = true;
 }
 
-bool Job::next_ready(std::uint32_t& index) {
-  if (ready == 0) return false;
-  while (marks[cursor] != kReady) ++cursor;
+bool Job::find_ready_task(std::uint32_t& index) {
+  if (ready_count == 0) return false;
+  while (task_progress[cursor] != kTaskReady) ++cursor;
   index = cursor;
   return true;
 }
--- a/src/model/job.hpp
+++ b/src/model/job.hpp
@@ -12,7 +12,7 @@
 
 namespace bankhill::model {
 
-enum TaskMark : char { kReady = 0, kAssigned = 1, kDone = 2 };
+enum TaskMark : char { kTaskReady = 0, kTaskAssigned = 1, kTaskDone = 2 };
 
 struct Job {
   wire::JobSpec spec;
@@ -31,11 +31,11 @@
   wire::KeyRevision
       eligible_revision;  // what was accepted or released later than a term began no earlier leader started
 
-  std::vector<char> marks;  // a Mark for each task; empty until led
-  std::uint32_t ready = 0;
-  std::uint32_t assigned = 0;
-  std::uint32_t finished = 0;
-  std::uint32_t running = 0;
+  std::vector<char> task_progress;  // a Mark for each task; empty until led
+  std::uint32_t ready_count = 0;
+  std::uint32_t assigned_count = 0;
+  std::uint32_t finished_count = 0;
+  std::uint32_t running_count = 0;
   std::uint32_t cursor = 0;  // no ready task lies before it
 
   std::map<std::uint32_t, wire::MachineId> task_machines;     // the machines that tasks are bound to
@@ -47,25 +47,25 @@
   bool faulty = false;  // its tasks fail wherever they are tried
   std::uint32_t failures_in_row = 0;
   double blocked_until = 0;  // steady clock
-  double preempted_at = -1e9;
+  double triggered_preemption_at = -1e9;
   double preemption_tried_at = -1e9;
   std::string reason;  // why it waits or what failed, for its owner
   bool progress_dirty = true;
 
-  bool ended() const { return state != wire::JobState::accepted; }
-  bool live() const { return !ended() && !dependency_cancelled; }
+  bool has_ended() const { return state != wire::JobState::accepted; }
+  bool is_live() const { return !has_ended() && !dependency_cancelled; }
   // A task of it runs, is told to, or is done.
-  bool started() const { return assigned > 0 || finished > 0; }
+  bool has_started() const { return assigned_count > 0 || finished_count > 0; }
   bool is_service() const { return spec.kind == wire::JobKind::service; }
 
-  void reset_marks();
-  void set_mark(std::uint32_t index, TaskMark mark);
+  void reset_task_progress();
+  void set_task_progress(std::uint32_t index, TaskMark mark);
   // Of a faulty job one task is enough to see.
-  bool on_trial() const { return faulty && assigned > 0; }
+  bool has_trial_task() const { return faulty && assigned_count > 0; }
   // Tasks that are worth a machine: of a faulty job one.
-  std::uint32_t unfinished() const { return faulty ? 1 : ready + assigned; }
+  std::uint32_t unfinished_tasks() const { return faulty ? 1 : ready_count + assigned_count; }
   // The next ready task at or after the cursor; false if there is none.
-  bool next_ready(std::uint32_t& index);
+  bool find_ready_task(std::uint32_t& index);
 };
 
 }  // namespace bankhill::model
--- a/src/model/lease_forecast.cpp
+++ b/src/model/lease_forecast.cpp
@@ -11,7 +11,7 @@
   if (until_ - since_ >= unanswered_return_s(timing_)) answered_until_ = until_;
 }
 
-bool LeaseForecast::acting(double now) {
+bool LeaseForecast::record_leading(double now) {
   const bool resumed = now - acted_at_ > timing_.control_interval_s;
   if (resumed) {
     resumed_at_ = now;
@@ -24,7 +24,7 @@
 
 // A worker that nobody answers has come to the leader by then. One that has not was answered by an earlier
 // leader, and its next heartbeat is not due yet.
-bool LeaseForecast::lasts(double now, std::optional<double> answered_at) const {
+bool LeaseForecast::lasts_until_renewal(double now, std::optional<double> answered_at) const {
   if (now - resumed_at_ > unanswered_return_s(timing_)) return true;
   const double answered_before = answered_until_ - kLatestHeartbeat * timing_.heartbeat_interval_s;
   return renewed_late_enough(now, answered_at.value_or(answered_before));
--- a/src/model/lease_forecast.hpp
+++ b/src/model/lease_forecast.hpp
@@ -35,13 +35,13 @@
   explicit LeaseForecast(const HeartbeatTiming& timing) : timing_(timing), history_(timing) {}
 
   // Another controller was known to act as the leader then; times must not fall.
-  void peer_led(double at) { history_.led(at); }
+  void record_peer_leading(double at) { history_.led(at); }
   // This controller acts as the leader at this moment. Says whether a gap of more than a control interval
   // ends with it.
-  bool acting(double now);
+  bool record_leading(double now);
   // Whether the lease lasts until the next heartbeat is answered. `answered_at`: when a heartbeat of the
   // present agent epoch was last answered by this leader; nothing: none was in this term.
-  bool lasts(double now, std::optional<double> answered_at) const;
+  bool lasts_until_renewal(double now, std::optional<double> answered_at) const;
 
  private:
   bool renewed_late_enough(double now, double renewed_at) const;
--- a/src/model/machine.hpp
+++ b/src/model/machine.hpp
@@ -27,9 +27,9 @@
   std::string team;
   std::string job_class;  // class of its job
   wire::Priority priority = wire::Priority::normal;
-  bool service = false;
-  bool largest = false;              // of its class, when it was bound
-  bool begun_before_others = false;  // the one task that its job's long wait put before all other batches
+  bool is_service = false;
+  bool largest = false;                // of its class, when it was bound
+  bool started_for_long_wait = false;  // the one task that its job's long wait put before all other batches
   wire::Resources request;
   wire::AgentEpoch agent_epoch;  // agent epoch in which it was told to start
   AssignmentState state = AssignmentState::sent;
@@ -85,7 +85,7 @@
 
   bool up = false;        // has reported, or is recorded as one that did
   bool recorded = false;  // its record is committed: it may hold tasks
-  bool recording = false;
+  bool record_pending = false;
   bool inherited = false;         // was recorded when this term began: may hold tasks of an earlier leader
   bool confirmed = false;         // has seen a fencing token of this term, or never had another
   bool rented_this_term = false;  // rented by this term: nothing of it can be older
@@ -98,10 +98,10 @@
   bool overdue = false;       // not heard for longer than reports take
   UplinkState uplink = UplinkState::up;
   std::string drain_reason;
-  std::string group;  // where its record is kept
+  std::string record_group;  // where its record is kept
 
   wire::AgentEpoch agent_epoch;
-  std::uint64_t sequence = 0;
+  std::uint64_t last_sequence = 0;
   std::uint64_t listed_sequence = 0;     // of the last heartbeat whose list of tasks was applied
   std::uint64_t heartbeat_sequence = 0;  // of the last heartbeat of this agent epoch, direct answers aside
   wire::FencingToken seen_token;
@@ -110,9 +110,9 @@
   AgentLease lease;         // as lengthened by answers at most
   // When a heartbeat of the present agent epoch was last answered in this term; nothing: none was.
   std::optional<double> answered_at;
-  double last_heartbeat = 0;
-  double heartbeat_at = 0;        // when any heartbeat came, one that is no news too
-  bool regular_heartbeat = true;  // its last heartbeat came in its turn, not for a change
+  double last_heartbeat_applied_at = 0;
+  double last_heartbeat_received_at = 0;  // when any heartbeat came, one that is no news too
+  bool regular_heartbeat = true;          // its last heartbeat came in its turn, not for a change
   double last_probe = 0;
   std::uint32_t probes_unanswered = 0;  // in a row
   double uncertain_start_at = 0;
@@ -144,7 +144,7 @@
   std::pair<wire::AgentEpoch, std::uint64_t> newest_received() const {
     // While it is lost, its agent epoch is only assumed.
     if (lease_expired) return {wire::AgentEpoch{agent_epoch.value - 1}, listed_sequence};
-    return {agent_epoch, std::max(sequence, heartbeat_sequence)};
+    return {agent_epoch, std::max(last_sequence, heartbeat_sequence)};
   }
   // It could not be used and now can: an empty one has had no chance to be of use, and would else be returned
   // as idle this very moment.
--- a/src/model/spot_reclaim_history.cpp
+++ b/src/model/spot_reclaim_history.cpp
@@ -11,7 +11,7 @@
 void SpotReclaimHistory::advance(const Fleet& fleet, double passed_s, double remaining) {
   for (const auto& [pool, state] : fleet.pools())
     if (pool.preemptible)
-      types_[pool.machine_type].machine_s += passed_s * static_cast<double>(state.sums.up);
+      types_[pool.machine_type].machine_s += passed_s * static_cast<double>(state.totals.up);
   for (auto& [machine_type, history] : types_) {
     history.reclaims *= remaining;
     history.machine_s *= remaining;
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -23,9 +23,9 @@
 }
 
 // Machines that the work keeps busy over its window, each task capped at one hour.
-double machines(const Work& work, const wire::Resources& size) {
+double machines(const Workload& work, const wire::Resources& size) {
   const double busy = work.service ? 1 : std::min(work.task_s, kHourS) / std::max(work.window_s, work.task_s);
-  return work.tasks * busy / slots(work.request, size);
+  return work.task_count * busy / slots(work.request, size);
 }
 }  // namespace
 
@@ -52,7 +52,7 @@
   return longest;
 }
 
-std::optional<std::size_t> preferred(const Work& work, const std::vector<Offer>& offers) {
+std::optional<std::size_t> choose_offer(const Workload& work, const std::vector<Offer>& offers) {
   std::optional<std::size_t> best;
   double best_price = 0;
   for (std::size_t i = 0; i < offers.size(); ++i) {
@@ -72,7 +72,7 @@
   return best;
 }
 
-double budget(const std::vector<Work>& work, const std::vector<Offer>& offers) {
+double budget(const std::vector<Workload>& work, const std::vector<Offer>& offers) {
   double sum = 0;
   for (const auto& item : work) {
     double total = 0;
@@ -89,12 +89,12 @@
   return sum;
 }
 
-Plan plan(const std::vector<Work>& work, const std::vector<Offer>& offers, double alpha) {
+Plan plan(const std::vector<Workload>& work, const std::vector<Offer>& offers, double alpha) {
   Plan result;
   std::vector<double> c(offers.size(), 0);
   std::vector<double> steady_only(offers.size(), 0);
   for (const auto& item : work) {
-    const auto type = preferred(item, offers);
+    const auto type = choose_offer(item, offers);
     if (!type) continue;
     const double count = machines(item, offers[*type].machine_type.capacity);
     c[*type] += count;
--- a/src/planner/planner.hpp
+++ b/src/planner/planner.hpp
@@ -14,9 +14,9 @@
 std::vector<double> scale(const std::vector<double>& c, double ratio);
 
 // A job's unfinished tasks, as the plan sees them.
-struct Work {
+struct Workload {
   wire::Resources request;
-  double tasks = 0;
+  double task_count = 0;
   double task_s = 0;    // estimated run time
   double window_s = 0;  // the time in which the work should be done: its period, at least task_s
   bool service = false;
@@ -47,13 +47,13 @@
 
 // Index of the offer on which a task completes earliest when its machine is still to be rented; of equals
 // the one cheapest per slot. Nothing if it fits none.
-std::optional<std::size_t> preferred(const Work& work, const std::vector<Offer>& offers);
+std::optional<std::size_t> choose_offer(const Workload& work, const std::vector<Offer>& offers);
 
 // Equation 3 over current work, each job with its own makespan (its window).
-double budget(const std::vector<Work>& work, const std::vector<Offer>& offers);
+double budget(const std::vector<Workload>& work, const std::vector<Offer>& offers);
 
 // Algorithm 3: step 1 and 2.
-Plan plan(const std::vector<Work>& work, const std::vector<Offer>& offers, double alpha);
+Plan plan(const std::vector<Workload>& work, const std::vector<Offer>& offers, double alpha);
 
 // Section 4.2: what a job can wait without missing its deadline. Services have 0, jobs without a deadline
 // the largest.
--- a/src/policy/policy_watcher.cpp
+++ b/src/policy/policy_watcher.cpp
@@ -20,7 +20,7 @@
   if (file_) publish();
 }
 
-void PolicyWatcher::on(Changed& message) {
+void PolicyWatcher::on(StoreChanged& message) {
   bool changed = false;
   for (const auto& change : *message.changes) {
     const bool head = change.key == wire::kPolicyKey;
--- a/src/policy/policy_watcher.hpp
+++ b/src/policy/policy_watcher.hpp
@@ -17,18 +17,18 @@
 namespace bankhill::policy {
 
 // Message.
-struct Changed {
+struct StoreChanged {
   state::Changes changes;
 };
 
 // Holds the policy in force, and writes this controller's file where it is newer.
-class PolicyWatcher : public runtime::Actor<PolicyWatcher, Changed> {
+class PolicyWatcher : public runtime::Actor<PolicyWatcher, StoreChanged> {
  public:
   // `file`: what this controller was started with; `again_s`: until what could not be written is tried again.
   PolicyWatcher(runtime::Loop& loop, runtime::Log log, state::Store& store, std::optional<Policy> file,
                 double again_s);
   void start();
-  void on(Changed& message);
+  void on(StoreChanged& message);
 
   // In force; the same object for good.
   const Policy& policy() const { return policy_; }
--- a/src/queue/backfill_reservations.cpp
+++ b/src/queue/backfill_reservations.cpp
@@ -11,7 +11,7 @@
   }
 }
 
-bool BackfillReservations::wants(const wire::JobId& job, double now) {
+bool BackfillReservations::should_reserve(const wire::JobId& job, double now) {
   // As many at the most as have one, or wait for theirs: the table is never larger.
   if (!seekers_.contains(job) && seekers_.size() >= settings_.most) {
     forget_idle(now);
--- a/src/queue/backfill_reservations.hpp
+++ b/src/queue/backfill_reservations.hpp
@@ -21,7 +21,7 @@
   explicit BackfillReservations(Settings settings) : settings_(settings) {}
 
   // A task of the job, which waits for too long, found no room. Says whether a machine should be chosen.
-  bool wants(const wire::JobId& job, double now);
+  bool should_reserve(const wire::JobId& job, double now);
   // Keeps the machine, which should have room at that time.
   void reserve(const wire::JobId& job, const wire::MachineId& machine_id, double free_at);
   // The job has found room, or needs none any more.
@@ -30,7 +30,7 @@
   void drop_machine(const wire::MachineId& machine_id);
   // Whether a task of the job that should run so long may be started there now.
   bool allows(const wire::MachineId& machine_id, const wire::JobId& job, double now, double runs_s) const;
-  bool reserved(const wire::MachineId& machine_id) const { return machines_.contains(machine_id); }
+  bool is_reserved(const wire::MachineId& machine_id) const { return machines_.contains(machine_id); }
   const wire::MachineId* machine_of(const wire::JobId& job) const;  // nothing if none is kept for it
   std::size_t size() const { return machines_.size(); }
   void reset();
--- a/src/queue/deadline.cpp
+++ b/src/queue/deadline.cpp
@@ -41,7 +41,7 @@
 
 double time_to_deadline(const Objectives& goals, const model::Job& job, const Deadline& deadline,
                         double wall) {
-  const double least = kHopeful * task_s(job);
+  const double least = kHopeful * estimated_runtime_s(job);
   const double due = own_due_in(goals, job, deadline, wall, least);
   const auto by = cutoff(job, deadline);
   if (!by) return due;
@@ -55,7 +55,7 @@
 double slack(const Objectives& goals, const model::Job& job, const Deadline& deadline, double wall) {
   const double due = time_to_deadline(goals, job, deadline, wall);
   return planner::slack(job.is_service(), std::isinf(due) ? std::nullopt : std::optional<double>(due),
-                        task_s(job));
+                        estimated_runtime_s(job));
 }
 
 }  // namespace bankhill::queue
--- a/src/queue/deadline.hpp
+++ b/src/queue/deadline.hpp
@@ -24,7 +24,7 @@
 };
 
 // Estimated run time of one of its tasks.
-inline double task_s(const model::Job& job) { return job.spec.estimated_runtime_s; }
+inline double estimated_runtime_s(const model::Job& job) { return job.spec.estimated_runtime_s; }
 
 // The cutoff of its tenant's calendar (time of day), in a pipeline that of the last job.
 std::optional<double> cutoff(const model::Job& job, const Deadline& deadline);
--- a/src/queue/job_queue.cpp
+++ b/src/queue/job_queue.cpp
@@ -26,7 +26,7 @@
 bool before(const Candidate& a, const Candidate& b) { return a.order_key < b.order_key; }
 }  // namespace
 
-JobQueue::JobQueue(Settings settings, Facts facts)
+JobQueue::JobQueue(Settings settings, Callbacks facts)
     : settings_(std::move(settings)),
       facts_(std::move(facts)),
       ordered_at_(kNever),
@@ -43,18 +43,18 @@
   held_.clear();
 }
 
-void JobQueue::enter(Job& job) {
+void JobQueue::enqueue(Job& job) {
   if (jobs_.emplace(job.spec.id, &job).second) new_.insert(job.spec.id);
 }
 
-void JobQueue::leave(const wire::JobId& id) { jobs_.erase(id); }
+void JobQueue::remove(const wire::JobId& id) { jobs_.erase(id); }
 
-void JobQueue::book(const fair_share::Party& party, bool largest, double cores) {
+void JobQueue::adjust_allocated_cores(const fair_share::Party& party, bool largest, double cores) {
   held_[{party, largest}] += cores;
 }
 
 // The exception to the order by slack: by slack alone a flood makes every job late.
-bool JobQueue::observe(double now, double wanted, double lacking) {
+bool JobQueue::update_overload(double now, double wanted, double lacking) {
   if (!overload_.observe(now, wanted, lacking)) return false;
   ordered_at_ = kNever;
   return true;
@@ -78,29 +78,31 @@
           job.spec.id,
           job.spec.request,
           job.spec.allows_preemptible,
-          task_s(job),
+          estimated_runtime_s(job),
           false,
           job.spec.priority};
 }
 
 // The floor under slack, guarantees and turns: one task, so that they cost next to nothing. Ages count from
 // the records' times: a new term does not start them anew.
-bool JobQueue::must_begin(const Job& job, double wall) const { return !job.started() && overdue(job, wall); }
+bool JobQueue::must_begin(const Job& job, double wall) const {
+  return !job.has_started() && is_overdue(job, wall);
+}
 
-bool JobQueue::overdue(const Job& job, double wall) const {
-  if (job.is_service() || job.faulty || job.assigned > 0) return false;
+bool JobQueue::is_overdue(const Job& job, double wall) const {
+  if (job.is_service() || job.faulty || job.assigned_count > 0) return false;
   if (wall - job.eligible_at < kMustBegin * settings_.begin_within_s) return false;
   return largest_.is(job);
 }
 
 Candidate JobQueue::first_task(Candidate candidate) {
-  candidate.first_only = true;
+  candidate.first_task_only = true;
   candidate.order_key.may_wait = candidate.order_key.borrows = false;
   candidate.order_key.rest = 0;
   return candidate;
 }
 
-const std::vector<Candidate>& JobQueue::in_order(Time time) {
+const std::vector<Candidate>& JobQueue::ordered_candidates(Time time) {
   const double lasts = kOrderPaces * settings_.control_interval_s * static_cast<double>(jobs_.size());
   if (time.now - ordered_at_ < lasts) {
     add_new(time.wall);
@@ -154,8 +156,8 @@
     const double cores = job.spec.request.cores;
     takers.push_back(&item);
     batches.push_back({{job.spec.team, job.spec.job_class},
-                       cores * job.ready,
-                       cores * job.unfinished() * std::max(1.0, task_s(job)),
+                       cores * job.ready_count,
+                       cores * job.unfinished_tasks() * std::max(1.0, estimated_runtime_s(job)),
                        std::isinf(time_to_deadline(job, wall)),
                        job.eligible_at,
                        largest_.is(job)});
--- a/src/queue/job_queue.hpp
+++ b/src/queue/job_queue.hpp
@@ -43,8 +43,8 @@
   wire::JobId id;
   wire::Resources request;
   bool allows_preemptible = false;
-  double task_s = 0;
-  bool first_only = false;  // this is for its first task; the others stand at another place
+  double estimated_runtime_s = 0;
+  bool first_task_only = false;  // this is for its first task; the others stand at another place
   wire::Priority priority = wire::Priority::best_effort;  // its own
 };
 
@@ -59,44 +59,44 @@
     double largest_share = 0.5;             // part of the largest of a class that should be served
   };
   // What only the leader knows.
-  struct Facts {
+  struct Callbacks {
     std::function<bool(const model::Job&)> may_start;         // now
     std::function<bool(const model::Job&)> within_guarantee;  // with one more task its team still is
     std::function<Deadline(const model::Job&)> deadline;
   };
   using Jobs = std::map<wire::JobId, model::Job*>;
 
-  JobQueue(Settings settings, Facts facts);
+  JobQueue(Settings settings, Callbacks facts);
 
   // A job was accepted, whoever leads: each is told once, in any order.
-  void came(const model::Job& job) { largest_.came(job); }
+  void note_accepted(const model::Job& job) { largest_.came(job); }
   // A term begins or ends: what is known is of another.
   void reset();
   // A job has tasks to place, or has more. It must stay where it is until it leaves.
-  void enter(model::Job& job);
-  void leave(const wire::JobId& id);
+  void enqueue(model::Job& job);
+  void remove(const wire::JobId& id);
   // A team's tasks of a class hold so many cores more, or less.
-  void book(const fair_share::Party& party, bool largest, double cores);
+  void adjust_allocated_cores(const fair_share::Party& party, bool largest, double cores);
   // Cores that the plan wants and those of them that cannot be had; says whether overload has just begun or
   // ended.
-  bool observe(double now, double wanted, double lacking);
-  bool overloaded() const { return overload_.on(); }
+  bool update_overload(double now, double wanted, double lacking);
+  bool is_overloaded() const { return overload_.on(); }
 
   // Those that may start, best first. Put in order anew when that is worth its time, so that it takes a
   // bounded part of the processor however many wait; in between those are added that have become ready since.
-  const std::vector<Candidate>& in_order(Time time);
+  const std::vector<Candidate>& ordered_candidates(Time time);
   // Seconds after which asking again may show another order, although nothing was told; 0: at the next event.
-  double again_s() const { return again_s_; }
+  double reorder_delay_s() const { return again_s_; }
 
   const Jobs& jobs() const { return jobs_; }
   model::Job* find(const wire::JobId& id) const;
   double time_to_deadline(const model::Job& job, double wall) const;
-  bool largest(const model::Job& job) const { return largest_.is(job); }
+  bool is_among_largest(const model::Job& job) const { return largest_.is(job); }
   // Whether it has waited for so long without a task of it started that it must begin now: it is among the
   // largest of its class.
   bool must_begin(const model::Job& job, double wall) const;
   // The same of one that has none running, also if some are done: it is owed room.
-  bool overdue(const model::Job& job, double wall) const;
+  bool is_overdue(const model::Job& job, double wall) const;
   std::optional<double> cutoff(const model::Job& job) const {
     return queue::cutoff(job, facts_.deadline(job));
   }
@@ -109,7 +109,7 @@
   void take_turns(double wall);
 
   Settings settings_;
-  Facts facts_;
+  Callbacks facts_;
   Jobs jobs_;
   std::vector<Candidate> order_;  // of jobs_, rising
   std::set<wire::JobId> new_;     // since they were put in order
--- a/src/queue/preemption_reservations.cpp
+++ b/src/queue/preemption_reservations.cpp
@@ -11,7 +11,7 @@
   switch (end) {
     case PreemptionEnd::used:
       return "used";
-    case PreemptionEnd::taken:
+    case PreemptionEnd::taken_by_higher_priority:
       return "taken by a higher priority";
     case PreemptionEnd::started_elsewhere:
       return "started elsewhere";
@@ -49,8 +49,8 @@
   made.job = job;
   made.priority = priority;
   made.request = request;
-  made.decided_at = made.room_at = now;
-  made.planned_until = made.until = until;
+  made.decided_at = made.vacated_at = now;
+  made.planned_expires_at = made.until = until;
   machines_[machine_id] = std::move(made);
   jobs_[job] = machine_id;
   return last_number_;
@@ -70,7 +70,7 @@
                                                   double now) {
   const auto found = machines_.find(machine_id);
   if (found == machines_.end() || found->second.stopping.erase(task) == 0) return 0;
-  found->second.room_at = now;
+  found->second.vacated_at = now;
   return found->second.number;
 }
 
@@ -80,11 +80,11 @@
     found->second.until = std::max(found->second.until, until);
 }
 
-void PreemptionReservations::open(const wire::MachineId& machine_id) {
-  if (const auto found = machines_.find(machine_id); found != machines_.end()) open(found);
+void PreemptionReservations::open_to_others(const wire::MachineId& machine_id) {
+  if (const auto found = machines_.find(machine_id); found != machines_.end()) open_to_others(found);
 }
 
-void PreemptionReservations::open(Machines::iterator item) {
+void PreemptionReservations::open_to_others(Machines::iterator item) {
   auto& made = item->second;
   if (made.phase == PreemptionPhase::bound) jobs_.erase(made.job);
   made.phase = PreemptionPhase::open;
@@ -108,13 +108,13 @@
   if (found == jobs_.end()) return;
   const auto item = machines_.find(found->second);
   if (item->second.victims > 0)
-    open(item);
+    open_to_others(item);
   else
     end(item, how);
 }
 
-void PreemptionReservations::placed(const wire::JobId& job, const wire::MachineId& machine_id, bool more,
-                                    wire::Priority priority) {
+void PreemptionReservations::task_placed(const wire::JobId& job, const wire::MachineId& machine_id, bool more,
+                                         wire::Priority priority) {
   const auto here = machines_.find(machine_id);
   const auto bound = jobs_.find(job);
   const bool waited_here = bound != jobs_.end() && bound->second == machine_id;
@@ -122,7 +122,7 @@
                           priority > here->second.victims_priority;
   if (waited_here || open_to_it) {
     // Started beside victims that are not gone yet: their room is still to be used.
-    if (!here->second.has_room()) return open(here);
+    if (!here->second.all_victims_gone()) return open_to_others(here);
     if (waited_here) jobs_.erase(bound);
     here->second.phase = PreemptionPhase::filled;
     here->second.until = std::numeric_limits<double>::max();
@@ -148,39 +148,39 @@
   auto* const made = filled(job, machine_id);
   if (made == nullptr) return;
   // Its other tasks may have had room made elsewhere meanwhile.
-  if (!jobs_.emplace(job, machine_id).second) return open(machine_id);
+  if (!jobs_.emplace(job, machine_id).second) return open_to_others(machine_id);
   made->phase = PreemptionPhase::bound;
-  made->planned_until = made->until = until;
+  made->planned_expires_at = made->until = until;
 }
 
 void PreemptionReservations::release(const wire::JobId& job) { open_or_end(job, PreemptionEnd::job_over); }
 
-void PreemptionReservations::pass_begins() {
+void PreemptionReservations::begin_pass() {
   for (auto& [machine_id, made] : machines_)
-    made.in_pass = made.phase == PreemptionPhase::open && made.has_room();
+    made.in_pass = made.phase == PreemptionPhase::open && made.all_victims_gone();
 }
 
-void PreemptionReservations::pass_over() {
+void PreemptionReservations::end_pass() {
   for (auto item = machines_.begin(); item != machines_.end();)
     item = item->second.in_pass ? end(item, PreemptionEnd::unwanted) : std::next(item);
 }
 
 const wire::MachineId* PreemptionReservations::machine_of(const wire::JobId& job, double now) const {
   const auto found = jobs_.find(job);
-  return found != jobs_.end() && reserved(found->second, now) ? &found->second : nullptr;
+  return found != jobs_.end() && is_reserved(found->second, now) ? &found->second : nullptr;
 }
 
-bool PreemptionReservations::pending(const wire::JobId& job, double now) const {
+bool PreemptionReservations::is_pending(const wire::JobId& job, double now) const {
   return machine_of(job, now) != nullptr;
 }
 
-bool PreemptionReservations::pending_elsewhere(const wire::JobId& job, const wire::MachineId& here,
-                                               double now) const {
+bool PreemptionReservations::is_pending_elsewhere(const wire::JobId& job, const wire::MachineId& here,
+                                                  double now) const {
   const auto* machine_id = machine_of(job, now);
   return machine_id != nullptr && *machine_id != here;
 }
 
-bool PreemptionReservations::reserved(const wire::MachineId& machine_id, double now) const {
+bool PreemptionReservations::is_reserved(const wire::MachineId& machine_id, double now) const {
   const auto found = machines_.find(machine_id);
   return found != machines_.end() && found->second.phase != PreemptionPhase::filled &&
          now <= found->second.until;
@@ -189,7 +189,7 @@
 bool PreemptionReservations::allows(const wire::MachineId& machine_id, const wire::JobId& job,
                                     wire::Priority priority, const wire::Resources& request,
                                     const wire::Resources& room, double now) const {
-  if (!reserved(machine_id, now)) return true;
+  if (!is_reserved(machine_id, now)) return true;
   const auto& made = machines_.at(machine_id);
   const bool bound = made.phase == PreemptionPhase::bound;
   if (bound && made.job == job) return true;
--- a/src/queue/preemption_reservations.hpp
+++ b/src/queue/preemption_reservations.hpp
@@ -21,15 +21,15 @@
 
 // What became of the room that a preemption made.
 enum class PreemptionEnd {
-  used,               // the task that it was made for was placed there, or one above the victims
-  taken,              // work of higher priority left too little of it
-  started_elsewhere,  // the job's last waiting task was placed on another machine
-  job_over,           // the job was cancelled or is done
-  made_again,         // tasks were stopped on another machine for the same job
-  machine_reused,     // tasks were stopped on the same machine for another job
-  machine_lost,       // the machine takes no more tasks
-  unwanted,           // nothing that ranks above the victims waits for it
-  expired             // the time was over before any of this
+  used,                      // the task that it was made for was placed there, or one above the victims
+  taken_by_higher_priority,  // work of higher priority left too little of it
+  started_elsewhere,         // the job's last waiting task was placed on another machine
+  job_over,                  // the job was cancelled or is done
+  made_again,                // tasks were stopped on another machine for the same job
+  machine_reused,            // tasks were stopped on the same machine for another job
+  machine_lost,              // the machine takes no more tasks
+  unwanted,                  // nothing that ranks above the victims waits for it
+  expired                    // the time was over before any of this
 };
 const char* text(PreemptionEnd end);
 
@@ -42,22 +42,22 @@
   wire::Priority priority = wire::Priority::normal;
   wire::Resources request;
   double decided_at = 0;
-  double planned_until = 0;         // bound to its job for so long, as decided
+  double planned_expires_at = 0;    // bound to its job for so long, as decided
   double until = 0;                 // the same, with what it was extended by
   std::set<wire::TaskId> stopping;  // victims that are not known to be gone
   std::size_t victims = 0;
   wire::Priority victims_priority = wire::Priority::best_effort;  // the highest
-  double room_at = 0;                                             // when the last of them was gone
+  double vacated_at = 0;                                          // when the last of them was gone
   bool in_pass = false;  // was open and had room when the present pass over the waiting jobs began
 
-  bool has_room() const { return stopping.empty(); }
+  bool all_victims_gone() const { return stopping.empty(); }
 };
 
 struct EndedPreemption {
   std::uint64_t number = 0;
   wire::JobId job;
   wire::MachineId machine_id;
-  PreemptionEnd end = PreemptionEnd::used;
+  PreemptionEnd reason = PreemptionEnd::used;
   std::size_t victims_left = 0;  // stopped tasks that are not known to be gone
 };
 
@@ -76,32 +76,32 @@
   // The job's task waits for it until then.
   void extend(const wire::MachineId& machine_id, double until);
   // The job's task waits for it no longer.
-  void open(const wire::MachineId& machine_id);
+  void open_to_others(const wire::MachineId& machine_id);
   // The room is anybody's.
   void end(const wire::MachineId& machine_id, PreemptionEnd how);
   // A task of the job was placed there; `more` of its tasks wait.
-  void placed(const wire::JobId& job, const wire::MachineId& machine_id, bool more,
-              wire::Priority priority = wire::Priority::production);
+  void task_placed(const wire::JobId& job, const wire::MachineId& machine_id, bool more,
+                   wire::Priority priority = wire::Priority::production);
   // The start of the job's task there has arrived, or it never will and the room is waited for until then.
   void start_arrived(const wire::JobId& job, const wire::MachineId& machine_id);
   void start_lost(const wire::JobId& job, const wire::MachineId& machine_id, double until);
   // The job needs none any more.
   void release(const wire::JobId& job);
   // All waiting jobs are tried, and were: what was open throughout and was not used is anybody's.
-  void pass_begins();
-  void pass_over();
+  void begin_pass();
+  void end_pass();
 
   // Over slow links a stop and its news take longer than a control interval: made again meanwhile on the next
   // machine, and the next, one batch stopped what it needed several times over.
-  bool pending(const wire::JobId& job, double now) const;
+  bool is_pending(const wire::JobId& job, double now) const;
   // The machine with the room that the job's task waits for; nothing if none does.
   const wire::MachineId* machine_of(const wire::JobId& job, double now) const;
-  bool reserved(const wire::MachineId& machine_id, double now) const;
+  bool is_reserved(const wire::MachineId& machine_id, double now) const;
   // Whether a task of another job may start in what is free there: in what is left, or before lower ranks.
   bool allows(const wire::MachineId& machine_id, const wire::JobId& job, wire::Priority priority,
               const wire::Resources& request, const wire::Resources& room, double now) const;
   // Whether the job's only task waits for room elsewhere: started here, others were stopped for nothing.
-  bool pending_elsewhere(const wire::JobId& job, const wire::MachineId& here, double now) const;
+  bool is_pending_elsewhere(const wire::JobId& job, const wire::MachineId& here, double now) const;
   const Machines& machines() const { return machines_; }
   // Those that ended since this was last asked.
   std::vector<EndedPreemption> take_ended();
@@ -111,7 +111,7 @@
   Machines::iterator end(Machines::iterator item, PreemptionEnd how);
   // Leaves the room to others that rank above the victims, if there are any.
   void open_or_end(const wire::JobId& job, PreemptionEnd how);
-  void open(Machines::iterator item);
+  void open_to_others(Machines::iterator item);
   Preemption* filled(const wire::JobId& job, const wire::MachineId& machine_id);
 
   Machines machines_;
--- a/src/storage/completion_bitmaps.cpp
+++ b/src/storage/completion_bitmaps.cpp
@@ -55,7 +55,7 @@
   wire::CompletionBucket stored;
   for (const auto& id : record.items)
     if (const auto* job = find_live_job_(id.job))
-      stored.emplace(id, wire::completion_hex(job->marks, id.chunk, model::kDone));
+      stored.emplace(id, wire::completion_hex(job->task_progress, id.chunk, model::kTaskDone));
   if (stored.empty()) return std::nullopt;
   return to_json(stored);
 }
--- a/src/storage/machine_groups.cpp
+++ b/src/storage/machine_groups.cpp
@@ -24,17 +24,17 @@
 
 void MachineGroups::put_into_group(model::Machine& machine) {
   const model::Pool pool{machine.machine_type, machine.zone, machine.preemptible};
-  machine.group = SharedRecords::add(pool, machine.id, bytes_of(machine));
+  machine.record_group = SharedRecords::add(pool, machine.id, bytes_of(machine));
 }
 
 void MachineGroups::add(model::Machine& machine, state::WriteCallback callback) {
   put_into_group(machine);
-  store(machine.group, state::FlushDelay::machines, std::move(callback));
+  store(machine.record_group, state::FlushDelay::machines, std::move(callback));
 }
 
 void MachineGroups::remove(const model::Machine& machine) {
   // A copy: what drops the group must not change it meanwhile.
-  const std::string name = machine.group;
+  const std::string name = machine.record_group;
   auto* group = find(name);
   if (group == nullptr) return;
   SharedRecords::remove(*group, machine.id, bytes_of(machine));
@@ -50,7 +50,7 @@
 }
 
 void MachineGroups::adopt_machine(const std::string& name, model::Machine& machine) {
-  machine.group = name;
+  machine.record_group = name;
   hold(make(name), machine.id, bytes_of(machine));
 }
 
@@ -71,9 +71,9 @@
 std::optional<std::string> MachineGroups::relocate(const wire::MachineId& machine_id,
                                                    const std::string& from) {
   auto* machine = fleet_.find(machine_id);
-  if (machine == nullptr || machine->group != from) return std::nullopt;
+  if (machine == nullptr || machine->record_group != from) return std::nullopt;
   put_into_group(*machine);
-  return machine->group;
+  return machine->record_group;
 }
 
 }  // namespace bankhill::storage
--- a/tests/agent_lease_test.cpp
+++ b/tests/agent_lease_test.cpp
@@ -12,48 +12,48 @@
 TEST(SurelyGone, ALeaseCountsFromItsLastRenewalAndIsNeverShortened) {
   constexpr double kLeaseS = 40;
   AgentLease lease;
-  lease.renewed_at(100);
-  const double over = lease.expired_at(kLeaseS);
+  lease.record_renewal(100);
+  const double over = lease.latest_expiry_at(kLeaseS);
   // The worker's clock may be slow, ours fast, by 0.05 % each.
   EXPECT_GT(over, 100 + kLeaseS * 1.0005 / 0.9995);
   EXPECT_LT(over, 100 + kLeaseS * 1.05);
-  lease.renewed_at(90);
-  EXPECT_EQ(lease.expired_at(kLeaseS), over) << "what is noted late does not shorten it";
-  lease.renewed_at(101);
-  EXPECT_EQ(lease.expired_at(kLeaseS), over + 1);
+  lease.record_renewal(90);
+  EXPECT_EQ(lease.latest_expiry_at(kLeaseS), over) << "what is noted late does not shorten it";
+  lease.record_renewal(101);
+  EXPECT_EQ(lease.latest_expiry_at(kLeaseS), over + 1);
 }
 
 TEST(SurelyGone, ADirectStartMayArriveUntilItIsAnsweredOrItsFenceIsBelow) {
   InFlightStarts starts;
-  EXPECT_TRUE(starts.directs_over(FencingToken{0})) << "none was sent";
-  starts.sent_directly();
-  EXPECT_FALSE(starts.directs_over(FencingToken{9})) << "unanswered, whatever fence was seen";
-  starts.direct_ended(FencingToken{5}, true);
-  EXPECT_TRUE(starts.directs_over(FencingToken{5}));
-  starts.sent_directly();
-  starts.sent_directly();
-  starts.direct_ended(FencingToken{5}, false);
-  EXPECT_FALSE(starts.directs_over(FencingToken{6})) << "one of two is unanswered";
-  starts.direct_ended(FencingToken{5}, true);
+  EXPECT_TRUE(starts.direct_starts_settled(FencingToken{0})) << "none was sent";
+  starts.record_direct_start();
+  EXPECT_FALSE(starts.direct_starts_settled(FencingToken{9})) << "unanswered, whatever fence was seen";
+  starts.record_direct_result(FencingToken{5}, true);
+  EXPECT_TRUE(starts.direct_starts_settled(FencingToken{5}));
+  starts.record_direct_start();
+  starts.record_direct_start();
+  starts.record_direct_result(FencingToken{5}, false);
+  EXPECT_FALSE(starts.direct_starts_settled(FencingToken{6})) << "one of two is unanswered";
+  starts.record_direct_result(FencingToken{5}, true);
   EXPECT_TRUE(starts.in_doubt(FencingToken{5}));
-  EXPECT_FALSE(starts.directs_over(FencingToken{5})) << "given up: executed under the same fence";
-  EXPECT_TRUE(starts.directs_over(FencingToken{6}));
-  starts.direct_ended(FencingToken{4}, false);
+  EXPECT_FALSE(starts.direct_starts_settled(FencingToken{5})) << "given up: executed under the same fence";
+  EXPECT_TRUE(starts.direct_starts_settled(FencingToken{6}));
+  starts.record_direct_result(FencingToken{4}, false);
   EXPECT_TRUE(starts.in_doubt(FencingToken{5})) << "a doubt is not lowered";
-  starts.sent_directly();
-  EXPECT_FALSE(starts.directs_over(FencingToken{6})) << "an answer too many pays for no later start";
+  starts.record_direct_start();
+  EXPECT_FALSE(starts.direct_starts_settled(FencingToken{6})) << "an answer too many pays for no later start";
 }
 
 TEST(SurelyGone, AStartInAnAnswerIsShownByALaterReport) {
   InFlightStarts starts;
-  EXPECT_TRUE(starts.answer_over(std::nullopt));
-  EXPECT_FALSE(starts.shown_by(7));
-  starts.sent_with_answer(7);
-  EXPECT_FALSE(starts.shown_by(7)) << "the report that it answered";
-  EXPECT_FALSE(starts.answer_over(std::nullopt)) << "a direct answer shows nothing of it";
-  EXPECT_FALSE(starts.answer_over(7));
-  EXPECT_TRUE(starts.answer_over(8));
-  EXPECT_TRUE(starts.shown_by(8));
+  EXPECT_TRUE(starts.response_start_settled(std::nullopt));
+  EXPECT_FALSE(starts.is_reflected_in(7));
+  starts.record_response_start(7);
+  EXPECT_FALSE(starts.is_reflected_in(7)) << "the report that it answered";
+  EXPECT_FALSE(starts.response_start_settled(std::nullopt)) << "a direct answer shows nothing of it";
+  EXPECT_FALSE(starts.response_start_settled(7));
+  EXPECT_TRUE(starts.response_start_settled(8));
+  EXPECT_TRUE(starts.is_reflected_in(8));
 }
 
 }  // namespace
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -31,7 +31,7 @@
 
   RentalManager::Ports rental_ports() {
     RentalManager::Ports ports;
-    ports.may_act = [this] { return may_act; };
+    ports.is_active_leader = [this] { return may_act; };
     ports.send_to_cloud = [](const cloud::Cloud::Message&) {};
     ports.machine_type = [this](const std::string& name) -> const wire::MachineType* {
       for (const auto& type : machine_types)
@@ -45,8 +45,8 @@
     };
     ports.store_machines = [](const std::string&, const wire::RentalRecord&) {};
     ports.remove_record = [](const std::string&) {};
-    ports.terminating = [this](const model::Machine& machine) { terminating.push_back(machine.id); };
-    ports.terminated = [](const wire::MachineId&) {};
+    ports.on_terminating = [this](const model::Machine& machine) { terminating.push_back(machine.id); };
+    ports.on_terminated = [](const wire::MachineId&) {};
     ports.plan_soon = [] {};
     ports.count_event = [](const std::string&) {};
     return ports;
@@ -54,20 +54,20 @@
 
   Autoscaler::Ports ports() {
     Autoscaler::Ports result;
-    result.may_act = [this] { return may_act; };
+    result.is_active_leader = [this] { return may_act; };
     result.may_start = [this](const model::Job&) { return may_start; };
     result.quota_allows = [this](const model::Job&) { return quota_allows; };
-    result.placeable_tasks = [](const model::Job& job) { return job.ready; };
+    result.placeable_tasks = [](const model::Job& job) { return job.ready_count; };
     result.is_gang = [this](const wire::JobId&) { return is_gang; };
     result.core_limit = [this](const std::string&) { return core_limit; };
     result.rent_for_gangs = [this](const std::vector<planner::Offer>&) { ++plans; };
-    result.note_overload = [this](double wanted, double lacking) { overload = {wanted, lacking}; };
+    result.report_core_demand = [this](double wanted, double lacking) { overload = {wanted, lacking}; };
     result.drain = [this](model::Machine& machine, const std::string& reason) {
       machine.draining = true;
       machine.drain_reason = reason;
       fleet.refresh(machine);
     };
-    result.use_again = [this](model::Machine& machine, const std::string& reason) {
+    result.cancel_drain = [this](model::Machine& machine, const std::string& reason) {
       if (machine.drain_reason != reason) return false;
       machine.draining = false;
       machine.drain_reason.clear();
@@ -100,10 +100,10 @@
     job.spec.estimated_runtime_s = 100;
     job.spec.allows_preemptible = preemptible;
     job.accepted_at = job.eligible_at = loop.wall();
-    job.reset_marks();
+    job.reset_task_progress();
     live_jobs.emplace(id, &job);
-    queue.came(job);
-    queue.enter(job);
+    queue.note_accepted(job);
+    queue.enqueue(job);
     return job;
   }
 
@@ -242,8 +242,8 @@
 
 TEST_F(AutoscalerTest, AvoidsAPreemptibleTypeThatIsReclaimedOften) {
   add_machine("large", true);
-  autoscaler.advance(1000, 1);
-  for (int i = 0; i < 10; ++i) autoscaler.machine_reclaimed("large");
+  autoscaler.advance_reclaim_history(1000, 1);
+  for (int i = 0; i < 10; ++i) autoscaler.on_machine_reclaimed("large");
   add_job(8, true);
   plan();
   EXPECT_EQ(requests, (std::vector<Request>{{"small", 4, true}}));
@@ -251,9 +251,9 @@
 
 TEST_F(AutoscalerTest, UsesAPreemptibleTypeAgainOnceReclaimsAreForgotten) {
   add_machine("large", true);
-  autoscaler.advance(1000, 1);
-  for (int i = 0; i < 10; ++i) autoscaler.machine_reclaimed("large");
-  autoscaler.advance(1000, 0.001);
+  autoscaler.advance_reclaim_history(1000, 1);
+  for (int i = 0; i < 10; ++i) autoscaler.on_machine_reclaimed("large");
+  autoscaler.advance_reclaim_history(1000, 0.001);
   add_job(8, true);
   plan();
   EXPECT_EQ(requests, (std::vector<Request>{{"large", 1, true}}));
@@ -262,10 +262,10 @@
 TEST_F(AutoscalerTest, RentsSteadyMachinesWhereNoPreemptibleTypeMayBeUsedAndWorkWaits) {
   add_machine("large", true);
   add_machine("small", true);
-  autoscaler.advance(1000, 1);
+  autoscaler.advance_reclaim_history(1000, 1);
   for (int i = 0; i < 10; ++i) {
-    autoscaler.machine_reclaimed("large");
-    autoscaler.machine_reclaimed("small");
+    autoscaler.on_machine_reclaimed("large");
+    autoscaler.on_machine_reclaimed("small");
   }
   add_job(8, true);
   plan();
@@ -280,7 +280,7 @@
   service.spec.request = {4, 0, 1};
   service.spec.task_count = 60;
   service.accepted_at = loop.wall();
-  autoscaler.service_accepted(service);
+  autoscaler.on_service_accepted(service);
   EXPECT_EQ(autoscaler.reserved_cores(), 0);
   plan();
   // 240 cores in four boot times of the slowest type: one a second, and whole tasks of six seconds.
@@ -358,7 +358,7 @@
   autoscaler.drain_if_excess(machine);
   ASSERT_TRUE(machine.draining);
   const auto machine_id = machine.id;
-  autoscaler.machine_terminated(machine_id);
+  autoscaler.on_machine_terminated(machine_id);
   fleet.erase(machine_id);
   add_job(4);
   plan();
