--- a/tests/boot_statistics_test.cpp
+++ b/tests/boot_statistics_test.cpp
@@ -12,40 +12,40 @@
 
 TEST(BootStatistics, FourBootsAreTooFewForAJudgement) {
   BootStatistics boots;
-  for (int i = 0; i < 4; ++i) EXPECT_FALSE(boots.note(false, kNothingForgotten).has_value());
-  EXPECT_EQ(boots.note(false, kNothingForgotten), std::optional(true));
-  EXPECT_EQ(boots.known(), 5);
+  for (int i = 0; i < 4; ++i) EXPECT_FALSE(boots.record_boot(false, kNothingForgotten).has_value());
+  EXPECT_EQ(boots.record_boot(false, kNothingForgotten), std::optional(true));
+  EXPECT_EQ(boots.weighted_count(), 5);
   EXPECT_EQ(boots.late_share(), 1);
 }
 
 TEST(BootStatistics, ThreeInTenLateAreNotBadAndMoreAre) {
   BootStatistics boots;
-  for (int i = 0; i < 7; ++i) EXPECT_FALSE(boots.note(true, kNothingForgotten).has_value());
-  for (int i = 0; i < 3; ++i) EXPECT_FALSE(boots.note(false, kNothingForgotten).has_value());
-  EXPECT_EQ(boots.note(false, kNothingForgotten), std::optional(true));
+  for (int i = 0; i < 7; ++i) EXPECT_FALSE(boots.record_boot(true, kNothingForgotten).has_value());
+  for (int i = 0; i < 3; ++i) EXPECT_FALSE(boots.record_boot(false, kNothingForgotten).has_value());
+  EXPECT_EQ(boots.record_boot(false, kNothingForgotten), std::optional(true));
 }
 
 TEST(BootStatistics, TellsEachChangeOnceAndIsWellAgainAtHalfTheShare) {
   BootStatistics boots;
-  for (int i = 0; i < 5; ++i) boots.note(false, kNothingForgotten);
-  EXPECT_FALSE(boots.note(false, kNothingForgotten).has_value());  // bad already
+  for (int i = 0; i < 5; ++i) boots.record_boot(false, kNothingForgotten);
+  EXPECT_FALSE(boots.record_boot(false, kNothingForgotten).has_value());  // bad already
   int in_time = 0;
   std::optional<bool> news;
   while (!news) {
     ASSERT_LT(in_time, 100);
-    news = boots.note(true, kNothingForgotten);
+    news = boots.record_boot(true, kNothingForgotten);
     ++in_time;
   }
   EXPECT_EQ(news, std::optional(false));
   EXPECT_EQ(in_time, 34);  // 6 of 40 are 15 %
-  EXPECT_FALSE(boots.note(true, kNothingForgotten).has_value());
+  EXPECT_FALSE(boots.record_boot(true, kNothingForgotten).has_value());
 }
 
 TEST(BootStatistics, WhatWasCountedLongAgoCountsNoMore) {
   BootStatistics boots;
-  for (int i = 0; i < 100; ++i) boots.note(true, kNothingForgotten);
-  boots.note(false, 0);
-  EXPECT_EQ(boots.known(), 1);
+  for (int i = 0; i < 100; ++i) boots.record_boot(true, kNothingForgotten);
+  boots.record_boot(false, 0);
+  EXPECT_EQ(boots.weighted_count(), 1);
   EXPECT_EQ(boots.late_share(), 1);
 }
 
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -51,14 +51,14 @@
 void expect_same(const DependencyGraph& waits, const Reckoning& plain) {
   for (const auto& [id, job] : plain.jobs) {
     if (job.fact.state != State::accepted) continue;
-    ASSERT_EQ(waits.cancelled(id), plain.cancelled(id)) << id.value;
+    ASSERT_EQ(waits.is_cancelled(id), plain.cancelled(id)) << id.value;
     if (plain.cancelled(id)) continue;
-    ASSERT_EQ(waits.ready(id), plain.released(id)) << id.value;
+    ASSERT_EQ(waits.is_ready(id), plain.released(id)) << id.value;
     const auto [priority, due] = plain.best(id);
-    ASSERT_EQ(waits.priority(id, job.fact.priority), priority) << id.value;
+    ASSERT_EQ(waits.effective_priority(id, job.fact.priority), priority) << id.value;
     // A job that neither waits nor is waited for is not in the graph: its own deadline stands.
-    const auto goal = waits.goal(id);
-    if (std::isinf(due) || (goal.last.value.empty() && due == job.fact.deadline_at)) continue;
+    const auto goal = waits.effective_deadline(id);
+    if (std::isinf(due) || (goal.job_id.value.empty() && due == job.fact.deadline_at)) continue;
     ASSERT_NEAR(goal.latest(), due, 1e-6) << id.value;
   }
 }
@@ -96,16 +96,16 @@
       std::set<JobId> forgotten;
       for (const auto& need : needs)
         if (plain.jobs.at(need).fact.state != State::accepted && pick(2) == 0) forgotten.insert(need);
-      waits.learn(id, job.fact);
+      waits.update(id, job.fact);
       if (!job.needs.empty())
         waits.add(id, job.fact, job.needs, false, [&](const JobId& need) {
           return forgotten.contains(need) ? DependencyInfo{} : plain.jobs.at(need).fact;
         });
       for (const auto& question : waits.take_unknown()) {
         EXPECT_TRUE(forgotten.contains(question));
-        EXPECT_TRUE(waits.maybe_cancelled(id) || waits.cancelled(id));
-        EXPECT_FALSE(waits.ready(id));
-        waits.learn(question, plain.jobs.at(question).fact);
+        EXPECT_TRUE(waits.may_be_cancelled(id) || waits.is_cancelled(id));
+        EXPECT_FALSE(waits.is_ready(id));
+        waits.update(question, plain.jobs.at(question).fact);
       }
     } else {
       const auto& id = all[pick(all.size())];
@@ -116,7 +116,7 @@
       job.fact.state = ends && !plain.cancelled(id) ? State::done : State::cancelled;
       job.fact.revision = wire::KeyRevision{++revision};
       job.fact.ended_at = step;
-      waits.learn(id, job.fact);
+      waits.update(id, job.fact);
     }
     const auto news = waits.take_updates();
     for (const auto& id : news.ready) EXPECT_TRUE(released.insert(id).second) << "told twice";
@@ -131,7 +131,7 @@
   for (const auto& id : all)
     if (auto& job = plain.jobs.at(id); job.fact.state == State::accepted) {
       job.fact.state = State::cancelled;
-      waits.learn(id, job.fact);
+      waits.update(id, job.fact);
     }
   EXPECT_EQ(waits.size(), 0U) << "the graph keeps what is over";
 }
@@ -166,12 +166,12 @@
     before = these;
   }
   waits.add({"job-999"}, fact(500), before, false, [&](const JobId&) { return fact(INFINITY); });
-  EXPECT_DOUBLE_EQ(waits.goal({"job-0"}).latest(), 500 - 30);
-  EXPECT_EQ(waits.goal({"job-0"}).last.value, "job-999");
+  EXPECT_DOUBLE_EQ(waits.effective_deadline({"job-0"}).latest(), 500 - 30);
+  EXPECT_EQ(waits.effective_deadline({"job-0"}).job_id.value, "job-999");
   DependencyInfo over = fact(INFINITY);
   over.state = State::cancelled;
-  waits.learn({"job-0"}, over);
-  EXPECT_TRUE(waits.cancelled({"job-999"}));
+  waits.update({"job-0"}, over);
+  EXPECT_TRUE(waits.is_cancelled({"job-999"}));
   EXPECT_EQ(waits.take_updates().cancelled.size(), 29U * 8 + 1);
 }
 
--- a/tests/downlink_health_test.cpp
+++ b/tests/downlink_health_test.cpp
@@ -102,7 +102,7 @@
   lose_a_start();
   EXPECT_EQ(until_asked(), 0);
   std::vector<double> pauses;
-  while (!hearing.give_up(now, times)) {
+  while (!hearing.should_terminate(now, times)) {
     ASSERT_LT(now, 400);
     hearing.probe_ended(now, times, false);
     pauses.push_back(until_asked());
@@ -157,16 +157,16 @@
 TEST_F(HearingTest, TellsWhetherSiblingsAreHeard) {
   report(3, "node-1");
   report(3, "node-1");
-  EXPECT_EQ(hearing.heard_by_peer(), now);
+  EXPECT_EQ(hearing.peer_response_received_at(), now);
   const double before = now;
   report(5, "node-2");
-  EXPECT_EQ(hearing.heard_by_peer(), before);
-  EXPECT_EQ(hearing.lost_by_peer(), now);
+  EXPECT_EQ(hearing.peer_response_received_at(), before);
+  EXPECT_EQ(hearing.peer_response_lost_at(), now);
   // Named another controller: comes there at once, and nothing was lost.
   const double lost = now;
   report(3, "node-2");
   report(3.3, "node-1");
-  EXPECT_EQ(hearing.lost_by_peer(), lost);
+  EXPECT_EQ(hearing.peer_response_lost_at(), lost);
 }
 
 }  // namespace
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -85,9 +85,9 @@
 
 TEST(FailureDetector, AMachineWithoutHeartbeatsIsReturnedAfterTwoLeases) {
   const FailureDetector detector(timing(3));
-  EXPECT_FALSE(detector.give_up(79));
-  EXPECT_FALSE(detector.give_up(80));
-  EXPECT_TRUE(detector.give_up(80 + kSlack));
+  EXPECT_FALSE(detector.should_terminate(79));
+  EXPECT_FALSE(detector.should_terminate(80));
+  EXPECT_TRUE(detector.should_terminate(80 + kSlack));
 }
 
 }  // namespace
--- a/tests/fair_share_test.cpp
+++ b/tests/fair_share_test.cpp
@@ -124,7 +124,7 @@
       filled = last = now;
       if (tokens >= 1) {
         tokens -= 1;
-        for (auto& door : doors) door.served(name);
+        for (auto& door : doors) door.request_served(name);
         continue;
       }
       ++in_vain;
@@ -147,40 +147,40 @@
   QuotaHighWater bounds({{"red", {80, kNone, 0}}}, 8);
   const wire::QuotaRecord record{6, {{"red", {20, kNone, 0}}}};
   bounds.begin_term(record, 7);
-  EXPECT_TRUE(bounds.believed());
-  EXPECT_EQ(bounds.unseen("red", cores(1000)).cores, 20);
-  bounds.seen("red", cores(15));
-  EXPECT_EQ(bounds.unseen("red", cores(1000)).cores, 5);
-  EXPECT_EQ(bounds.unseen("red", cores(2)).cores, 2);
+  EXPECT_TRUE(bounds.is_record_trusted());
+  EXPECT_EQ(bounds.max_unseen_usage("red", cores(1000)).cores, 20);
+  bounds.inherited_task_seen("red", cores(15));
+  EXPECT_EQ(bounds.max_unseen_usage("red", cores(1000)).cores, 5);
+  EXPECT_EQ(bounds.max_unseen_usage("red", cores(2)).cores, 2);
   // Another leader came in between, perhaps one that knows of no bounds: anything up to the limit may run.
   bounds.begin_term(record, 8);
-  EXPECT_FALSE(bounds.believed());
-  EXPECT_EQ(bounds.unseen("red", cores(1000)).cores, 80);
+  EXPECT_FALSE(bounds.is_record_trusted());
+  EXPECT_EQ(bounds.max_unseen_usage("red", cores(1000)).cores, 80);
   bounds.begin_term(std::nullopt, 9);
-  EXPECT_EQ(bounds.unseen("red", cores(1000)).cores, 80);
-  EXPECT_EQ(bounds.unseen("no limit", cores(1000)).cores, 0);
+  EXPECT_EQ(bounds.max_unseen_usage("red", cores(1000)).cores, 80);
+  EXPECT_EQ(bounds.max_unseen_usage("no limit", cores(1000)).cores, 0);
 }
 
 // Operators lower a limit, or give a team one that had none, between two terms.
 TEST(BoundsTest, ALimitThatWasLoweredHidesNothing) {
   QuotaHighWater bounds({{"red", {24, kNone, 0}}, {"blue", {24, kNone, 0}}}, 8);
   bounds.begin_term(wire::QuotaRecord{6, {{"red", {40, kNone, 0}}}}, 7);
-  ASSERT_TRUE(bounds.believed());
-  bounds.seen("red", cores(30));
-  EXPECT_EQ(bounds.unseen("red", cores(1000)).cores, 10);
-  EXPECT_EQ(bounds.unseen("blue", cores(1000)).cores, 1000);
+  ASSERT_TRUE(bounds.is_record_trusted());
+  bounds.inherited_task_seen("red", cores(30));
+  EXPECT_EQ(bounds.max_unseen_usage("red", cores(1000)).cores, 10);
+  EXPECT_EQ(bounds.max_unseen_usage("blue", cores(1000)).cores, 1000);
 }
 
 TEST(BoundsTest, ATaskLargerThanAStepIsCoveredInTheEnd) {
   QuotaHighWater bounds({{"red", {8, kNone, 0}}}, 8);
   bounds.begin_term(std::nullopt, 1);
-  ASSERT_TRUE(bounds.next({}, 1, false));
-  bounds.written();
+  ASSERT_TRUE(bounds.next_record({}, 1, false));
+  bounds.record_stored();
   EXPECT_FALSE(bounds.covers("red", cores(4), 1));
-  const auto raised = bounds.next({}, 1, false);
+  const auto raised = bounds.next_record({}, 1, false);
   ASSERT_TRUE(raised);
   EXPECT_FALSE(bounds.covers("red", cores(4), 1)) << "used before it is committed";
-  bounds.written();
+  bounds.record_stored();
   EXPECT_TRUE(bounds.covers("red", cores(4), 1));
 }
 
@@ -206,7 +206,7 @@
       ++term;
       QuotaHighWater bounds({{"red", {kLimit, kNone, 0}}}, 1 + below(10));
       bounds.begin_term(stored, term);
-      believed += bounds.believed() ? 1 : 0;
+      believed += bounds.is_record_trusted() ? 1 : 0;
       const bool knows = below(4) > 0;
       std::set<int> unheard{0, 1, 2, 3};
       constexpr double kMachine = 16;
@@ -216,7 +216,7 @@
         double sum = 0;
         for (const auto& task : known) sum += task.need;
         const auto size = cores(kMachine * static_cast<double>(unheard.size()));
-        return sum + (knows ? bounds.unseen("red", size).cores : size.cores);
+        return sum + (knows ? bounds.max_unseen_usage("red", size).cores : size.cores);
       };
       for (int step = below(60); step > 0; --step) {
         const int what = below(10);
@@ -243,17 +243,17 @@
           unheard.erase(machine);
           for (const auto& task : tasks)
             if (task.term < term && task.machine == machine) {
-              if (knows) bounds.seen("red", cores(task.need));
+              if (knows) bounds.inherited_task_seen("red", cores(task.need));
               known.push_back(task);
             }
         } else if (knows && on_its_way) {  // it arrives, or its answer is lost and it is sent again
           if (below(4) > 0) stored = on_its_way;
           if (stored == on_its_way && below(4) > 0) {
-            bounds.written();
+            bounds.record_stored();
             on_its_way.reset();
           }
         } else if (knows) {
-          on_its_way = bounds.next({{"red", cores(use())}}, term, below(3) == 0);
+          on_its_way = bounds.next_record({{"red", cores(use())}}, term, below(3) == 0);
         }
         double runs = 0;
         for (const auto& task : tasks) runs += task.need;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -17,7 +17,7 @@
   return result;
 }
 
-Fleet::Choice choice(const wire::JobSpec& job, bool reclaimable) {
+Fleet::MachineQuery choice(const wire::JobSpec& job, bool reclaimable) {
   return {job,
           reclaimable,
           false,
@@ -86,7 +86,7 @@
     ASSERT_EQ(fleet.total().unconfirmed, sums.unconfirmed);
     ASSERT_DOUBLE_EQ(fleet.total().cores, sums.cores);
     auto wish = choice(job, false);
-    const auto* picked = fleet.pick(wish);
+    const auto* picked = fleet.find_best(wish);
     ASSERT_EQ(picked != nullptr, best_room < 1e9);
     if (picked == nullptr) continue;
     ASSERT_EQ(picked->images.contains(job.image) ? 0 : 2, best_fetch);
@@ -110,7 +110,7 @@
     const auto job = spec(1 + static_cast<double>(random() % 4), random() % 2 == 0 ? "x" : "y");
     for (const bool reclaimable : {false, true}) {
       auto wish = choice(job, reclaimable);
-      auto* machine = fleet.pick(wish);
+      auto* machine = fleet.find_best(wish);
       if (machine == nullptr) continue;
       machine->used.cores += job.request.cores;
       fleet.refresh(*machine);
--- a/tests/job_durability_test.cpp
+++ b/tests/job_durability_test.cpp
@@ -412,12 +412,12 @@
   waits.add(a, accepted(3), {lost}, false, look_up);
   waits.add(b, accepted(4), {known}, false, look_up);
   waits.add(c, accepted(5), {known, a}, false, look_up);
-  EXPECT_TRUE(waits.maybe_cancelled(a));
-  EXPECT_FALSE(waits.maybe_cancelled(b));
-  EXPECT_TRUE(waits.maybe_cancelled(c)) << "through another";
-  waits.learn(lost, accepted(1));
-  EXPECT_FALSE(waits.maybe_cancelled(a));
-  EXPECT_FALSE(waits.maybe_cancelled(c));
+  EXPECT_TRUE(waits.may_be_cancelled(a));
+  EXPECT_FALSE(waits.may_be_cancelled(b));
+  EXPECT_TRUE(waits.may_be_cancelled(c)) << "through another";
+  waits.update(lost, accepted(1));
+  EXPECT_FALSE(waits.may_be_cancelled(a));
+  EXPECT_FALSE(waits.may_be_cancelled(c));
 }
 
 // ---- a controller that loses the state service and the other controllers, but not its workers
--- a/tests/job_index_test.cpp
+++ b/tests/job_index_test.cpp
@@ -238,9 +238,9 @@
   record.dependency_parts = 1;
   index_.apply({{wire::job_key(job_id(2)), to_json(record), KeyRevision{2}},
                 {wire::dependencies_key(job_id(2), 0), Json("1"), KeyRevision{2}}});
-  EXPECT_FALSE(index_.dependencies().ready(job_id(2)));
+  EXPECT_FALSE(index_.dependencies().is_ready(job_id(2)));
   index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobState::done)), KeyRevision{3}}});
-  EXPECT_TRUE(index_.dependencies().ready(job_id(2)));
+  EXPECT_TRUE(index_.dependencies().is_ready(job_id(2)));
 }
 
 TEST_F(JobIndexTest, AJobWithAMissingPartOfItsDependenciesIsNeverReleased) {
@@ -249,7 +249,7 @@
   index_.apply({{wire::job_key(job_id(2)), to_json(record), KeyRevision{2}},
                 {wire::dependencies_key(job_id(2), 0), Json("1"), KeyRevision{2}}});
   index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobState::done)), KeyRevision{3}}});
-  EXPECT_FALSE(index_.dependencies().ready(job_id(2)));
+  EXPECT_FALSE(index_.dependencies().is_ready(job_id(2)));
 }
 
 TEST_F(JobIndexTest, AJobIsOverWithTheCancelledJobThatItDependsOn) {
@@ -274,7 +274,7 @@
   loop_.pass(kSettledS);
   EXPECT_TRUE(index_.is_cancelled(job_id(5)));
   EXPECT_FALSE(index_.is_cancelled(job_id(6)));
-  EXPECT_FALSE(index_.dependencies().ready(job_id(6))) << "a dependency that has no record is not done";
+  EXPECT_FALSE(index_.dependencies().is_ready(job_id(6))) << "a dependency that has no record is not done";
 }
 
 TEST_F(JobIndexTest, TheCatalogueIsTakenInAndOneThatCannotBeReadChangesNothing) {
--- a/tests/largest_test.cpp
+++ b/tests/largest_test.cpp
@@ -112,10 +112,10 @@
   const wire::JobId big{"big"};
   const wire::JobId small{"small"};
   const wire::MachineId machine_id{"host"};
-  EXPECT_FALSE(room.wants(big, 0));
-  EXPECT_TRUE(room.wants(big, 3));
+  EXPECT_FALSE(room.should_reserve(big, 0));
+  EXPECT_TRUE(room.should_reserve(big, 3));
   room.reserve(big, machine_id, 20);
-  EXPECT_FALSE(room.wants(big, 4));
+  EXPECT_FALSE(room.should_reserve(big, 4));
   EXPECT_TRUE(room.allows(machine_id, big, 4, 500));
   EXPECT_TRUE(room.allows(machine_id, small, 4, 15));
   EXPECT_FALSE(room.allows(machine_id, small, 4, 17));
@@ -123,17 +123,17 @@
   // What should have ended there goes on: all may use it again, and another is chosen.
   EXPECT_FALSE(room.allows(machine_id, small, 80, 1));
   EXPECT_TRUE(room.allows(machine_id, small, 81, 500));
-  EXPECT_TRUE(room.wants(big, 81));
+  EXPECT_TRUE(room.should_reserve(big, 81));
   room.reserve(big, machine_id, 100);
   room.drop_machine(machine_id);
-  EXPECT_TRUE(room.wants(big, 82));
+  EXPECT_TRUE(room.should_reserve(big, 82));
   // No more than two at a time, and one that asks no more gives its machine back.
   room.reserve(big, machine_id, 100);
-  EXPECT_FALSE(room.wants(small, 82));
-  EXPECT_FALSE(room.wants(wire::JobId{"third"}, 90));
-  EXPECT_FALSE(room.wants(wire::JobId{"third"}, 150));
-  EXPECT_FALSE(room.reserved(machine_id));
-  EXPECT_TRUE(room.wants(wire::JobId{"third"}, 153));
+  EXPECT_FALSE(room.should_reserve(small, 82));
+  EXPECT_FALSE(room.should_reserve(wire::JobId{"third"}, 90));
+  EXPECT_FALSE(room.should_reserve(wire::JobId{"third"}, 150));
+  EXPECT_FALSE(room.is_reserved(machine_id));
+  EXPECT_TRUE(room.should_reserve(wire::JobId{"third"}, 153));
   room.release(wire::JobId{"third"});
   EXPECT_EQ(room.size(), 0U);
 }
--- a/tests/lease_forecast_test.cpp
+++ b/tests/lease_forecast_test.cpp
@@ -24,60 +24,60 @@
 
 // Acts from one time to another, as the leader's tick does.
 void act(model::LeaseForecast& forecast, double from, double to) {
-  for (double now = from; now <= to; now += 0.25) forecast.acting(now);
+  for (double now = from; now <= to; now += 0.25) forecast.record_leading(now);
 }
 
 TEST(LeaseForecastTest, WaitsForHeartbeatsWhereNothingIsKnown) {
   model::LeaseForecast forecast(kTiming);
-  EXPECT_TRUE(forecast.acting(100));
-  EXPECT_FALSE(forecast.lasts(100, std::nullopt));
-  EXPECT_FALSE(forecast.lasts(100 + kReturnS, std::nullopt));
+  EXPECT_TRUE(forecast.record_leading(100));
+  EXPECT_FALSE(forecast.lasts_until_renewal(100, std::nullopt));
+  EXPECT_FALSE(forecast.lasts_until_renewal(100 + kReturnS, std::nullopt));
   // One that has not come by then was answered by somebody and its next heartbeat is not due.
-  EXPECT_TRUE(forecast.lasts(100 + kReturnS + 0.1, std::nullopt));
+  EXPECT_TRUE(forecast.lasts_until_renewal(100 + kReturnS + 0.1, std::nullopt));
 }
 
 TEST(LeaseForecastTest, AnAnswerIsEnough) {
   model::LeaseForecast forecast(kTiming);
-  forecast.acting(100);
-  EXPECT_TRUE(forecast.lasts(100.5, 100.5));
-  EXPECT_FALSE(forecast.lasts(100.5, std::nullopt));
+  forecast.record_leading(100);
+  EXPECT_TRUE(forecast.lasts_until_renewal(100.5, 100.5));
+  EXPECT_FALSE(forecast.lasts_until_renewal(100.5, std::nullopt));
 }
 
 TEST(LeaseForecastTest, AQuickChangeOfLeaderNeedsNoWait) {
   model::LeaseForecast forecast(kTiming);
-  for (double at = 50; at <= 100; at += 0.5) forecast.peer_led(at);
-  forecast.acting(103);
-  EXPECT_TRUE(forecast.lasts(103, std::nullopt));
+  for (double at = 50; at <= 100; at += 0.5) forecast.record_peer_leading(at);
+  forecast.record_leading(103);
+  EXPECT_TRUE(forecast.lasts_until_renewal(103, std::nullopt));
   // 20 s of lease, less 4 and 6, less the 3.75 s since the last heartbeat of before.
-  EXPECT_TRUE(forecast.lasts(106.25, std::nullopt));
-  EXPECT_FALSE(forecast.lasts(106.3, std::nullopt));
+  EXPECT_TRUE(forecast.lasts_until_renewal(106.25, std::nullopt));
+  EXPECT_FALSE(forecast.lasts_until_renewal(106.3, std::nullopt));
 }
 
 // The first one may have answered nobody yet: what is known is of the one before it, if anything.
 TEST(LeaseForecastTest, ALeaderOfAMomentProvesNothing) {
   model::LeaseForecast forecast(kTiming);
-  for (double at = 100; at <= 103; at += 0.5) forecast.peer_led(at);
-  forecast.acting(104);
-  EXPECT_FALSE(forecast.lasts(104, std::nullopt));
+  for (double at = 100; at <= 103; at += 0.5) forecast.record_peer_leading(at);
+  forecast.record_leading(104);
+  EXPECT_FALSE(forecast.lasts_until_renewal(104, std::nullopt));
 
   model::LeaseForecast second(kTiming);
-  for (double at = 50; at <= 96; at += 0.5) second.peer_led(at);
-  for (double at = 100; at <= 101; at += 0.5) second.peer_led(at);
-  second.acting(102);
-  EXPECT_TRUE(second.lasts(102, std::nullopt));
+  for (double at = 50; at <= 96; at += 0.5) second.record_peer_leading(at);
+  for (double at = 100; at <= 101; at += 0.5) second.record_peer_leading(at);
+  second.record_leading(102);
+  EXPECT_TRUE(second.lasts_until_renewal(102, std::nullopt));
 }
 
 TEST(LeaseForecastTest, ALeaderThatCouldNotActForgetsWhatItKnew) {
   model::LeaseForecast forecast(kTiming);
   act(forecast, 0, 100);
-  EXPECT_TRUE(forecast.lasts(100, 1));
-  EXPECT_FALSE(forecast.acting(102.9));
-  EXPECT_TRUE(forecast.lasts(102.9, 1));
+  EXPECT_TRUE(forecast.lasts_until_renewal(100, 1));
+  EXPECT_FALSE(forecast.record_leading(102.9));
+  EXPECT_TRUE(forecast.lasts_until_renewal(102.9, 1));
   // An outage of over half a lease.
-  EXPECT_TRUE(forecast.acting(114));
-  EXPECT_FALSE(forecast.lasts(114, 101));
-  EXPECT_FALSE(forecast.lasts(114, std::nullopt));
-  EXPECT_TRUE(forecast.lasts(114, 113.9));
+  EXPECT_TRUE(forecast.record_leading(114));
+  EXPECT_FALSE(forecast.lasts_until_renewal(114, 101));
+  EXPECT_FALSE(forecast.lasts_until_renewal(114, std::nullopt));
+  EXPECT_TRUE(forecast.lasts_until_renewal(114, 113.9));
 }
 
 // ---- leaders that change twice and three times within half a lease
--- a/tests/machine_monitor_test.cpp
+++ b/tests/machine_monitor_test.cpp
@@ -46,15 +46,16 @@
   }
   // A heartbeat that is answered.
   void hear(Machine& machine) {
-    machine.last_contact = machine.heartbeat_at = machine.last_heartbeat = loop_.now();
-    machine.lease.renewed_at(loop_.now());
+    machine.last_contact = machine.last_heartbeat_received_at = machine.last_heartbeat_applied_at =
+        loop_.now();
+    machine.lease.record_renewal(loop_.now());
     machine.probes_unanswered = 0;
     machine.overdue = machine.lease_expired = false;
     fleet_.refresh(machine);
   }
   void bind_service(Machine& machine) {
     machine.service_cores = 1;
-    machine.assignments[{wire::JobId{"job"}, 0}].service = true;
+    machine.assignments[{wire::JobId{"job"}, 0}].is_service = true;
   }
   void lose_downlink(Machine& machine) {
     machine.downlink.command_unanswered(loop_.now());
@@ -175,7 +176,7 @@
   EXPECT_EQ(machine.uplink, model::UplinkState::overdue);
   EXPECT_FALSE(machine.takes_tasks());
   EXPECT_EQ(std::pair(plans_, placements_), std::pair(1, 1));
-  machine.heartbeat_at = loop_.now();
+  machine.last_heartbeat_received_at = loop_.now();
   monitor_.update_reporting(machine);
   EXPECT_EQ(machine.uplink, model::UplinkState::up);
   EXPECT_EQ(machine.idle_since, loop_.now());  // it is not returned as idle at once
@@ -206,7 +207,7 @@
 TEST_F(MachineMonitorTest, AnExpiredLeaseEndsTheSessionOnce) {
   auto& machine = add_machine("a");
   machine.agent_epoch.value = 7;
-  machine.sequence = machine.heartbeat_sequence = 100;
+  machine.last_sequence = machine.heartbeat_sequence = 100;
   loop_.pass(kLeaseS * model::kDriftAllowance + model::kAllowanceS - 0.25);
   check(machine);
   EXPECT_FALSE(machine.lease_expired);
@@ -216,7 +217,7 @@
   EXPECT_TRUE(machine.lease_expired);
   EXPECT_EQ(sessions_over_, (std::vector<std::pair<std::string, std::uint64_t>>{{"a", 8}}));
   EXPECT_EQ(machine.agent_epoch.value, 8U);
-  EXPECT_EQ(machine.sequence, 0U);
+  EXPECT_EQ(machine.last_sequence, 0U);
   EXPECT_EQ(machine.heartbeat_sequence, 0U);
   EXPECT_TRUE(drained_.empty());
 }
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -20,10 +20,10 @@
   return {machine_type, spot};
 }
 
-Work work(double cores, double tasks, double task_s, bool reclaimable) {
-  Work item;
+Workload work(double cores, double tasks, double task_s, bool reclaimable) {
+  Workload item;
   item.request = {cores, 0, 1};
-  item.tasks = tasks;
+  item.task_count = tasks;
   item.task_s = item.window_s = task_s;
   item.allows_preemptible = reclaimable;
   return item;
--- a/tests/preemption_reservations_test.cpp
+++ b/tests/preemption_reservations_test.cpp
@@ -27,12 +27,12 @@
 
 TEST(MadeRoomTest, IsOnItsWayUntilItsTimeIsOver) {
   const auto room = made_room();
-  EXPECT_TRUE(room.reserved(kMachine, 10));
-  EXPECT_TRUE(room.pending(kJob, 20));
-  EXPECT_FALSE(room.pending(kJob, 20.1));
-  EXPECT_FALSE(room.reserved(kMachine, 20.1));
-  EXPECT_FALSE(room.reserved(kElsewhere, 10));
-  EXPECT_FALSE(room.pending(kOther, 10));
+  EXPECT_TRUE(room.is_reserved(kMachine, 10));
+  EXPECT_TRUE(room.is_pending(kJob, 20));
+  EXPECT_FALSE(room.is_pending(kJob, 20.1));
+  EXPECT_FALSE(room.is_reserved(kMachine, 20.1));
+  EXPECT_FALSE(room.is_reserved(kElsewhere, 10));
+  EXPECT_FALSE(room.is_pending(kOther, 10));
 }
 
 TEST(MadeRoomTest, IsItsJobsOwnAndOfHigherPriorities) {
@@ -56,49 +56,49 @@
 
 TEST(MadeRoomTest, ItsJobsOnlyTaskWaitsForItAndStartsNowhereElse) {
   const auto room = made_room();
-  EXPECT_TRUE(room.pending_elsewhere(kJob, kElsewhere, 12));
-  EXPECT_FALSE(room.pending_elsewhere(kJob, kMachine, 12));
-  EXPECT_FALSE(room.pending_elsewhere(kOther, kElsewhere, 12));
-  EXPECT_FALSE(room.pending_elsewhere(kJob, kElsewhere, 20.1));
+  EXPECT_TRUE(room.is_pending_elsewhere(kJob, kElsewhere, 12));
+  EXPECT_FALSE(room.is_pending_elsewhere(kJob, kMachine, 12));
+  EXPECT_FALSE(room.is_pending_elsewhere(kOther, kElsewhere, 12));
+  EXPECT_FALSE(room.is_pending_elsewhere(kJob, kElsewhere, 20.1));
 }
 
 TEST(MadeRoomTest, IsUsedByTheTaskThatIsPlacedThere) {
   auto room = made_room();
-  room.placed(kOther, kMachine, false);
-  EXPECT_TRUE(room.pending(kJob, 12));
+  room.task_placed(kOther, kMachine, false);
+  EXPECT_TRUE(room.is_pending(kJob, 12));
   // Of several tasks one may start elsewhere: another still waits for the room.
-  room.placed(kJob, kElsewhere, true);
-  EXPECT_TRUE(room.pending(kJob, 12));
-  room.placed(kJob, kMachine, true);
-  EXPECT_FALSE(room.pending(kJob, 12));
-  EXPECT_FALSE(room.reserved(kMachine, 12));
+  room.task_placed(kJob, kElsewhere, true);
+  EXPECT_TRUE(room.is_pending(kJob, 12));
+  room.task_placed(kJob, kMachine, true);
+  EXPECT_FALSE(room.is_pending(kJob, 12));
+  EXPECT_FALSE(room.is_reserved(kMachine, 12));
   // The last one needs no room any more, wherever it starts.
   room = made_room();
-  room.placed(kJob, kElsewhere, false);
-  EXPECT_FALSE(room.reserved(kMachine, 12));
+  room.task_placed(kJob, kElsewhere, false);
+  EXPECT_FALSE(room.is_reserved(kMachine, 12));
 }
 
 TEST(MadeRoomTest, AJobHasOneMachineAndAMachineOneJob) {
   auto room = made_room();
   room.reserve(kJob, kElsewhere, Priority::normal, kRequest, 12, 22);
-  EXPECT_FALSE(room.reserved(kMachine, 12));
-  EXPECT_TRUE(room.reserved(kElsewhere, 12));
+  EXPECT_FALSE(room.is_reserved(kMachine, 12));
+  EXPECT_TRUE(room.is_reserved(kElsewhere, 12));
   // A job that takes the machine over takes the room with it.
   room.reserve(kOther, kElsewhere, Priority::high, kRequest, 13, 23);
-  EXPECT_FALSE(room.pending(kJob, 13));
-  EXPECT_TRUE(room.pending(kOther, 23));
+  EXPECT_FALSE(room.is_pending(kJob, 13));
+  EXPECT_TRUE(room.is_pending(kOther, 23));
   room.release(kJob);
-  EXPECT_TRUE(room.reserved(kElsewhere, 13));
+  EXPECT_TRUE(room.is_reserved(kElsewhere, 13));
 }
 
 TEST(MadeRoomTest, IsGivenUpWithItsJobOrItsTerm) {
   auto room = made_room();
   room.release(kJob);
-  EXPECT_FALSE(room.reserved(kMachine, 12));
+  EXPECT_FALSE(room.is_reserved(kMachine, 12));
   room = made_room();
   room.reset();
-  EXPECT_FALSE(room.reserved(kMachine, 12));
-  EXPECT_FALSE(room.pending(kJob, 12));
+  EXPECT_FALSE(room.is_reserved(kMachine, 12));
+  EXPECT_FALSE(room.is_pending(kJob, 12));
 }
 
 // Room whose time was over is forgotten when other is made: what it was kept for then counts as waiting no
@@ -106,8 +106,8 @@
 TEST(MadeRoomTest, ForgetsWhatIsOver) {
   auto room = made_room();
   room.reserve(kOther, kElsewhere, Priority::normal, kRequest, 30, 40);
-  EXPECT_FALSE(room.pending(kJob, 15));
-  EXPECT_TRUE(room.pending(kOther, 35));
+  EXPECT_FALSE(room.is_pending(kJob, 15));
+  EXPECT_TRUE(room.is_pending(kOther, 35));
 }
 
 // ---- with the tasks that were stopped
@@ -130,7 +130,7 @@
 
 std::vector<PreemptionEnd> ends(PreemptionReservations& room) {
   std::vector<PreemptionEnd> result;
-  for (const auto& ended : room.take_ended()) result.push_back(ended.end);
+  for (const auto& ended : room.take_ended()) result.push_back(ended.reason);
   return result;
 }
 
@@ -142,10 +142,10 @@
   EXPECT_EQ(room.victim_gone(kMachine, {kJob, 0}, 11), 0U);
   EXPECT_EQ(room.victim_gone(kMachine, kFirst, 11), 1U);
   EXPECT_EQ(room.victim_gone(kMachine, kFirst, 11), 0U);
-  EXPECT_FALSE(room.machines().at(kMachine).has_room());
+  EXPECT_FALSE(room.machines().at(kMachine).all_victims_gone());
   EXPECT_EQ(room.victim_gone(kMachine, kSecond, 12), 1U);
-  EXPECT_TRUE(room.machines().at(kMachine).has_room());
-  EXPECT_EQ(room.machines().at(kMachine).room_at, 12);
+  EXPECT_TRUE(room.machines().at(kMachine).all_victims_gone());
+  EXPECT_EQ(room.machines().at(kMachine).vacated_at, 12);
 }
 
 // Of a job that needs the room no more it goes to what ranks above the victims.
@@ -153,8 +153,8 @@
   auto room = stopped_two();
   EXPECT_FALSE(may_use(room, Priority::high));
   room.release(kJob);
-  EXPECT_FALSE(room.pending(kJob, 12));
-  EXPECT_TRUE(room.reserved(kMachine, 1000));
+  EXPECT_FALSE(room.is_pending(kJob, 12));
+  EXPECT_TRUE(room.is_reserved(kMachine, 1000));
   EXPECT_TRUE(may_use(room, Priority::high));
   EXPECT_FALSE(may_use(room, Priority::normal));
 }
@@ -162,33 +162,33 @@
 TEST(PreemptionLifeTest, IsAnybodysAfterAPassThatHadNoUseForIt) {
   auto room = stopped_two();
   room.release(kJob);
-  room.pass_begins();
-  room.pass_over();
-  EXPECT_TRUE(room.reserved(kMachine, 12));  // not there yet
-  room.pass_begins();
+  room.begin_pass();
+  room.end_pass();
+  EXPECT_TRUE(room.is_reserved(kMachine, 12));  // not there yet
+  room.begin_pass();
   room.victim_gone(kMachine, kFirst, 13);
   room.victim_gone(kMachine, kSecond, 13);
-  room.pass_over();
-  EXPECT_TRUE(room.reserved(kMachine, 13));  // only since this pass
-  room.pass_begins();
-  room.pass_over();
-  EXPECT_FALSE(room.reserved(kMachine, 13));
+  room.end_pass();
+  EXPECT_TRUE(room.is_reserved(kMachine, 13));  // only since this pass
+  room.begin_pass();
+  room.end_pass();
+  EXPECT_FALSE(room.is_reserved(kMachine, 13));
   EXPECT_EQ(ends(room), Ends{PreemptionEnd::unwanted});
 }
 
 TEST(PreemptionLifeTest, IsStillToBeUsedWhenItsTaskStartedBesideTheVictims) {
   auto room = stopped_two();
-  room.placed(kJob, kMachine, true, Priority::high);
-  EXPECT_FALSE(room.pending(kJob, 12));
+  room.task_placed(kJob, kMachine, true, Priority::high);
+  EXPECT_FALSE(room.is_pending(kJob, 12));
   EXPECT_TRUE(may_use(room, Priority::high));
   EXPECT_FALSE(may_use(room, Priority::normal));
   // What ranks no higher than the victims and finds room beside it leaves it as it is.
   room.victim_gone(kMachine, kFirst, 12);
   room.victim_gone(kMachine, kSecond, 12);
-  room.placed(kOther, kMachine, true, Priority::normal);
-  EXPECT_TRUE(room.reserved(kMachine, 12));
-  room.placed(kOther, kMachine, true, Priority::high);
-  EXPECT_FALSE(room.reserved(kMachine, 12));
+  room.task_placed(kOther, kMachine, true, Priority::normal);
+  EXPECT_TRUE(room.is_reserved(kMachine, 12));
+  room.task_placed(kOther, kMachine, true, Priority::high);
+  EXPECT_FALSE(room.is_reserved(kMachine, 12));
   room.start_arrived(kOther, kMachine);
   EXPECT_EQ(ends(room), Ends{PreemptionEnd::used});
 }
@@ -197,21 +197,21 @@
   auto room = stopped_two();
   room.victim_gone(kMachine, kFirst, 11);
   room.victim_gone(kMachine, kSecond, 11);
-  room.placed(kJob, kMachine, true, Priority::high);
-  EXPECT_FALSE(room.pending(kJob, 12));
+  room.task_placed(kJob, kMachine, true, Priority::high);
+  EXPECT_FALSE(room.is_pending(kJob, 12));
   EXPECT_TRUE(room.machines().contains(kMachine));
   room.start_lost(kOther, kMachine, 18);
-  EXPECT_FALSE(room.pending(kJob, 12));
+  EXPECT_FALSE(room.is_pending(kJob, 12));
   room.start_lost(kJob, kMachine, 18);
-  EXPECT_TRUE(room.pending(kJob, 18));
+  EXPECT_TRUE(room.is_pending(kJob, 18));
   EXPECT_FALSE(may_use(room, Priority::normal));
-  room.placed(kJob, kMachine, true, Priority::high);
+  room.task_placed(kJob, kMachine, true, Priority::high);
   room.start_arrived(kJob, kMachine);
   EXPECT_FALSE(room.machines().contains(kMachine));
   EXPECT_EQ(ends(room), Ends{PreemptionEnd::used});
   // Nothing is left that could be lost.
   room.start_lost(kJob, kMachine, 30);
-  EXPECT_FALSE(room.pending(kJob, 20));
+  EXPECT_FALSE(room.is_pending(kJob, 20));
 }
 
 // Meanwhile other room was made for the job's next task: that is the one it waits for.
@@ -219,7 +219,7 @@
   auto room = stopped_two();
   room.victim_gone(kMachine, kFirst, 11);
   room.victim_gone(kMachine, kSecond, 11);
-  room.placed(kJob, kMachine, true, Priority::high);
+  room.task_placed(kJob, kMachine, true, Priority::high);
   room.reserve(kJob, kElsewhere, Priority::high, kRequest, 12, 22);
   room.start_lost(kJob, kMachine, 18);
   EXPECT_EQ(*room.machine_of(kJob, 12), kElsewhere);
@@ -230,14 +230,14 @@
 TEST(PreemptionLifeTest, IsBoundForLongerOnlyWhileItIsBound) {
   auto room = stopped_two();
   room.extend(kMachine, 30);
-  EXPECT_TRUE(room.pending(kJob, 30));
+  EXPECT_TRUE(room.is_pending(kJob, 30));
   room.extend(kMachine, 15);
-  EXPECT_TRUE(room.pending(kJob, 30));
-  room.open(kMachine);
+  EXPECT_TRUE(room.is_pending(kJob, 30));
+  room.open_to_others(kMachine);
   room.extend(kMachine, 40);
-  EXPECT_FALSE(room.pending(kJob, 12));
+  EXPECT_FALSE(room.is_pending(kJob, 12));
   room.end(kMachine, PreemptionEnd::machine_lost);
-  EXPECT_FALSE(room.reserved(kMachine, 12));
+  EXPECT_FALSE(room.is_reserved(kMachine, 12));
   EXPECT_EQ(ends(room), Ends{PreemptionEnd::machine_lost});
   EXPECT_EQ(ends(room), Ends{});
 }
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -1,9 +1,8 @@
 // Which tasks are stopped so that another can start, and what found no machine, without a leader.
-#include "leader/preemption.hpp"
-
 #include <gtest/gtest.h>
 
 #include "leader/unplaceable_requests.hpp"
+#include "leader/victim_selector.hpp"
 
 namespace bankhill::leader {
 namespace {
@@ -49,7 +48,7 @@
     assignment.task = TaskId{id, 0};
     assignment.team = team;
     assignment.priority = priority;
-    assignment.service = service;
+    assignment.is_service = service;
     assignment.request = {cores, 0, 4};
     assignment.running_since = kNow - ran_s;
     machine.used += assignment.request;
@@ -245,7 +244,7 @@
 // It was placed before all other batches: stopped for one of them it would be placed first again, and so on.
 TEST_F(PreemptionTest, StopsATaskThatBeganBeforeOthersOnlyForServices) {
   auto& machine = add_machine("m");
-  add_task(machine, "red", 8, Priority::best_effort, 10).begun_before_others = true;
+  add_task(machine, "red", 8, Priority::best_effort, 10).started_for_long_wait = true;
   EXPECT_EQ(victims(machine, Priority::production, true), Names{});
   waiting_.spec.kind = wire::JobKind::service;
   EXPECT_EQ(victims(machine, Priority::normal, false), Names{"red0"});
@@ -282,7 +281,7 @@
   queue::Candidate candidate;
   candidate.request = {cores, 0, 1};
   candidate.allows_preemptible = allows_preemptible;
-  candidate.task_s = runtime_s;
+  candidate.estimated_runtime_s = runtime_s;
   return candidate;
 }
 
--- a/tests/queue_test.cpp
+++ b/tests/queue_test.cpp
@@ -23,7 +23,7 @@
 
   explicit World(Objectives goals = {})
       : queue({3, 15, std::move(goals), {{"red", 60}, {"blue", 30}}, 240, 0.5},
-              {[this](const Job& job) { return job.ready > 0 && !blocked.contains(job.spec.id); },
+              {[this](const Job& job) { return job.ready_count > 0 && !blocked.contains(job.spec.id); },
                [this](const Job& job) { return !borrowing.contains(job.spec.team); },
                [](const Job&) { return Deadline{}; }}) {}
 
@@ -38,9 +38,9 @@
     job.spec.request = {1, 0, 0};
     job.spec.estimated_runtime_s = guess_s;
     job.accepted_at = job.eligible_at = accepted_at;
-    job.reset_marks();
-    queue.came(job);
-    queue.enter(job);
+    job.reset_task_progress();
+    queue.note_accepted(job);
+    queue.enqueue(job);
     return job;
   }
 
@@ -49,7 +49,7 @@
     using Key = std::tuple<bool, bool, bool, double, double, wire::JobId>;
     std::vector<Key> wanted;
     for (const auto& [id, job] : jobs) {
-      if (queue.find(id) == nullptr || job.ready == 0 || blocked.contains(id)) continue;
+      if (queue.find(id) == nullptr || job.ready_count == 0 || blocked.contains(id)) continue;
       const bool borrows = job.faulty || borrowing.contains(job.spec.team);
       const double rest = job.faulty         ? std::numeric_limits<double>::max()
                           : job.is_service() ? 0
@@ -57,7 +57,7 @@
       wanted.emplace_back(!job.is_service(), true, borrows, rest, job.eligible_at, id);
       // The floor: of the largest one task goes before all others once it has waited for half of four
       // minutes.
-      if (!job.is_service() && !job.faulty && queue.largest(job) && wall - job.eligible_at >= 120)
+      if (!job.is_service() && !job.faulty && queue.is_among_largest(job) && wall - job.eligible_at >= 120)
         wanted.emplace_back(true, false, false, 0, job.eligible_at, id);
     }
     std::sort(wanted.begin(), wanted.end());
@@ -91,13 +91,13 @@
         if (below(8) == 0) job.spec.kind = wire::JobKind::service;
         job.faulty = !job.is_service() && below(10) == 0;
       }
-      if (below(4) == 0) cluster.queue.leave(id_of(1 + below(number + 1)));
+      if (below(4) == 0) cluster.queue.remove(id_of(1 + below(number + 1)));
       if (below(4) == 0) cluster.blocked.insert(id_of(1 + below(number + 1)));
       if (below(4) == 0) cluster.blocked.clear();
       if (below(6) == 0) cluster.borrowing = {below(2) == 0 ? "red" : "blue"};
-      const auto& order = cluster.queue.in_order({now, now});
+      const auto& order = cluster.queue.ordered_candidates({now, now});
       // All are put in order each time: a second is longer than so few of them may take.
-      EXPECT_EQ(cluster.queue.again_s(), 0);
+      EXPECT_EQ(cluster.queue.reorder_delay_s(), 0);
       cluster.expect_sorted(now, goals, order);
     }
   }
@@ -108,30 +108,30 @@
 TEST(QueueTest, ManyWaitingJobsArePutInOrderNowAndThenAndNewOnesAddedInBetween) {
   World cluster;
   for (int i = 0; i < 4000; ++i) cluster.add(i, "red", "night", 1, 10, 1000 - i);
-  EXPECT_EQ(cluster.queue.in_order({0, 0}).size(), 4000U);
+  EXPECT_EQ(cluster.queue.ordered_candidates({0, 0}).size(), 4000U);
   cluster.add(5000, "red", "night", 1, 10, 500.5);
   cluster.blocked.insert(id_of(17));
-  const auto& order = cluster.queue.in_order({0.5, 0.5});
+  const auto& order = cluster.queue.ordered_candidates({0.5, 0.5});
   ASSERT_EQ(order.size(), 4001U);
-  EXPECT_GT(cluster.queue.again_s(), 0.5);
+  EXPECT_GT(cluster.queue.reorder_delay_s(), 0.5);
   EXPECT_TRUE(std::is_sorted(order.begin(), order.end(),
                              [](const auto& a, const auto& b) { return a.order_key < b.order_key; }));
-  EXPECT_EQ(cluster.queue.in_order({0.5 + cluster.queue.again_s(), 1}).size(), 4000U);
+  EXPECT_EQ(cluster.queue.ordered_candidates({0.5 + cluster.queue.reorder_delay_s(), 1}).size(), 4000U);
 }
 
 TEST(QueueTest, InOverloadTeamsAndClassesTakeTurns) {
   World cluster;
   for (int i = 0; i < 20; ++i) cluster.add(i, "red", "night", 30, 10, i);
   cluster.add(100, "blue", "day", 30, 10, 50);
-  cluster.queue.book({"red", "night"}, false, 60);
-  EXPECT_FALSE(cluster.queue.observe(0, 100, 60));
-  EXPECT_EQ(cluster.queue.in_order({0, 60}).back().id, id_of(100));  // of equals the youngest
-  EXPECT_TRUE(cluster.queue.observe(20, 100, 60));
-  EXPECT_TRUE(cluster.queue.overloaded());
-  EXPECT_EQ(cluster.queue.in_order({20, 80}).front().id, id_of(100));  // holds nothing of its share
+  cluster.queue.adjust_allocated_cores({"red", "night"}, false, 60);
+  EXPECT_FALSE(cluster.queue.update_overload(0, 100, 60));
+  EXPECT_EQ(cluster.queue.ordered_candidates({0, 60}).back().id, id_of(100));  // of equals the youngest
+  EXPECT_TRUE(cluster.queue.update_overload(20, 100, 60));
+  EXPECT_TRUE(cluster.queue.is_overloaded());
+  EXPECT_EQ(cluster.queue.ordered_candidates({20, 80}).front().id, id_of(100));  // holds nothing of its share
   cluster.queue.reset();
-  EXPECT_FALSE(cluster.queue.overloaded());
-  EXPECT_TRUE(cluster.queue.in_order({21, 81}).empty());
+  EXPECT_FALSE(cluster.queue.is_overloaded());
+  EXPECT_TRUE(cluster.queue.ordered_candidates({21, 81}).empty());
 }
 
 }  // namespace
--- a/tests/quota_ledger_test.cpp
+++ b/tests/quota_ledger_test.cpp
@@ -22,7 +22,7 @@
   assignment.team = team;
   assignment.request = {cores, 0, 4};
   assignment.priority = priority;
-  assignment.service = service;
+  assignment.is_service = service;
   return assignment;
 }
 
--- a/tests/rental_manager_test.cpp
+++ b/tests/rental_manager_test.cpp
@@ -36,7 +36,7 @@
 
   RentalManager::Ports ports() {
     RentalManager::Ports result;
-    result.may_act = [this] { return may_act; };
+    result.is_active_leader = [this] { return may_act; };
     result.send_to_cloud = [this](cloud::Cloud::Message message) {
       if (auto* rent = std::get_if<cloud::Rent>(&message)) rent_requests.push_back(std::move(*rent));
       if (auto* release = std::get_if<cloud::Terminate>(&message))
@@ -52,8 +52,8 @@
       recorded_machines.push_back({name, record});
     };
     result.remove_record = [this](const std::string& name) { removed_records.push_back(name); };
-    result.terminating = [this](const model::Machine& machine) { terminating.push_back(machine.id); };
-    result.terminated = [this](const wire::MachineId& machine_id) {
+    result.on_terminating = [this](const model::Machine& machine) { terminating.push_back(machine.id); };
+    result.on_terminated = [this](const wire::MachineId& machine_id) {
       terminated.push_back(machine_id);
       if (fleet.find(machine_id) != nullptr) fleet.erase(machine_id);
     };
@@ -132,7 +132,7 @@
   EXPECT_EQ(record.count, 3U);
   EXPECT_EQ(record.requested_at, loop.wall());
   EXPECT_FALSE(record.machine_ids);
-  EXPECT_TRUE(manager->any_requested());
+  EXPECT_TRUE(manager->has_pending_rental());
 
   // Neither at once nor later, as long as the record is not committed.
   loop.pass(60);
@@ -162,7 +162,7 @@
   ASSERT_EQ(recorded_machines.size(), 1U);
   EXPECT_EQ(recorded_machines[0].name, "r-7-1");
   EXPECT_EQ(recorded_machines[0].record.machine_ids, (std::vector<std::string>{"n-1000", "n-1001"}));
-  EXPECT_FALSE(manager->any_requested());
+  EXPECT_FALSE(manager->has_pending_rental());
   ASSERT_EQ(fleet.size(), 2U);
   auto& machine = *fleet.find({"n-1000"});
   EXPECT_EQ(machine.machine_type, "large");
@@ -177,7 +177,7 @@
   fleet.find({"n-1001"})->recorded = true;
   manager->reconcile_rentals();
   EXPECT_EQ(removed_records, std::vector<std::string>{"r-7-1"});
-  EXPECT_EQ(manager->size(), 0U);
+  EXPECT_EQ(manager->rental_count(), 0U);
 }
 
 TEST_F(RentalManagerTest, ANewLeaderRepeatsAnOpenRentalUnderTheSameName) {
@@ -242,7 +242,7 @@
   request(5);
   rent_requests[0].done({Kind::no_capacity, {}});
   EXPECT_EQ(removed_records, std::vector<std::string>{"r-7-1"});
-  EXPECT_EQ(manager->size(), 0U);
+  EXPECT_EQ(manager->rental_count(), 0U);
   EXPECT_EQ(plans_wanted, 1);
   EXPECT_EQ(fleet.size(), 0U);
   EXPECT_EQ(manager->request(type, false, 5, "a"), 0);
@@ -442,7 +442,7 @@
   // Once the other has its record the rental is over all the same, and this outlasts the term.
   fleet.find({"n-1001"})->recorded = true;
   manager->reconcile_rentals();
-  EXPECT_EQ(manager->size(), 0U);
+  EXPECT_EQ(manager->rental_count(), 0U);
   manager->end_term();
   manager->begin_term(8);
   EXPECT_TRUE(manager->recently_terminated({"n-1000"}));
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -112,16 +112,16 @@
   for (double lease = 1; lease < 300; lease += 7)
     for (double margin = 0.5; margin < 200; margin *= 1.3) {
       const model::CancellationBound budget(lease, lease + margin, 4);
-      if (!budget.holds()) continue;
+      if (!budget.is_feasible()) continue;
       ++held;
-      EXPECT_GE(budget.read_age_s(), 2);
-      EXPECT_LE(budget.gone_within_s(), lease + margin);
-      EXPECT_GE(budget.gone_within_s(), budget.read_age_s() + lease + 4);
-      EXPECT_LT(budget.leader_ttl_s(), budget.read_age_s()) << "a successor comes too late";
+      EXPECT_GE(budget.max_read_age_s(), 2);
+      EXPECT_LE(budget.worst_case_removal_s(), lease + margin);
+      EXPECT_GE(budget.worst_case_removal_s(), budget.max_read_age_s() + lease + 4);
+      EXPECT_LT(budget.leader_ttl_s(), budget.max_read_age_s()) << "a successor comes too late";
     }
   EXPECT_GT(held, 300);
-  EXPECT_FALSE(model::CancellationBound(44, 49, 4).holds());
-  EXPECT_TRUE(model::CancellationBound(44, 69, 4).holds());
+  EXPECT_FALSE(model::CancellationBound(44, 49, 4).is_feasible());
+  EXPECT_TRUE(model::CancellationBound(44, 69, 4).is_feasible());
 }
 
 TEST(OperatorSettings, UnknownKeysAndBadValuesAreRefused) {
--- a/tests/sim/check_records.cpp
+++ b/tests/sim/check_records.cpp
@@ -82,7 +82,7 @@
     if (controller == nullptr || controller->before_policies) continue;
     for (const auto& [job_id, cutoff] : cutoffs_)
       if (const auto* job = controller->node.job({job_id});
-          job != nullptr && job->live() && job->cutoff != cutoff)
+          job != nullptr && job->is_live() && job->cutoff != cutoff)
         violate("cutoff_moved", job_id + " has another cutoff at a controller");
   }
 }
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -64,7 +64,7 @@
     auto& made = jobs[wire::JobId{name}];
     made.spec.id = wire::JobId{name};
     made.spec.task_count = tasks;
-    made.reset_marks();
+    made.reset_task_progress();
     return made;
   }
   std::set<std::string> stored_machines(const std::string& group) const {
@@ -104,7 +104,7 @@
  private:
   model::Job* find_live(const wire::JobId& id) {
     const auto found = jobs.find(id);
-    return found == jobs.end() || !found->second.live() ? nullptr : &found->second;
+    return found == jobs.end() || !found->second.is_live() ? nullptr : &found->second;
   }
 
   bool may_write() const override { return true; }
@@ -135,8 +135,8 @@
   groups.add(machine("m1"), count(recorded));
   groups.add(machine("m2"), count(recorded));
   groups.add(machine("other-zone", "b"), count(recorded));
-  EXPECT_EQ(fleet.find({"m1"})->group, fleet.find({"m2"})->group);
-  EXPECT_NE(fleet.find({"m1"})->group, fleet.find({"other-zone"})->group);
+  EXPECT_EQ(fleet.find({"m1"})->record_group, fleet.find({"m2"})->record_group);
+  EXPECT_NE(fleet.find({"m1"})->record_group, fleet.find({"other-zone"})->record_group);
   EXPECT_EQ(recorded, 0);
   commit_all();
   EXPECT_EQ(recorded, 3);
@@ -181,12 +181,12 @@
   groups.adopt_machine("m9", machine("m10"));
   groups.remove(*fleet.find({"m9"}));
   groups.add(machine("m11"), {});
-  EXPECT_EQ(fleet.find({"m11"})->group, "7-1") << "neither has room yet, or ever";
+  EXPECT_EQ(fleet.find({"m11"})->record_group, "7-1") << "neither has room yet, or ever";
   groups.remove(*fleet.find({"m1"}));
   fleet.erase({"m1"});
   fleet.erase({"m9"});
   groups.add(machine("m3"), {});
-  EXPECT_EQ(fleet.find({"m3"})->group, "6-1");
+  EXPECT_EQ(fleet.find({"m3"})->record_group, "6-1");
   commit_all();
   EXPECT_EQ(stored_machines("6-1"), (std::set<std::string>{"m2", "m3"}));
 }
@@ -229,23 +229,23 @@
   for (const auto& name : left) EXPECT_TRUE(together.insert(name).second) << name << " is recorded twice";
   for (const auto& name : all) EXPECT_TRUE(together.contains(name)) << name << " is not recorded";
   EXPECT_EQ(together.size(), all.size());
-  for (const auto& name : left) EXPECT_EQ(fleet.find({name})->group, "7-1");
-  for (const auto& name : moved) EXPECT_NE(fleet.find({name})->group, "7-1");
+  for (const auto& name : left) EXPECT_EQ(fleet.find({name})->record_group, "7-1");
+  for (const auto& name : moved) EXPECT_NE(fleet.find({name})->record_group, "7-1");
   EXPECT_LE(wire::stored_bytes(stored.find(wire::machine_group_key("7-1"))->data), writes.value_limit());
 }
 
 TEST_F(StorageTest, ChunksOfManyJobsShareARecord) {
   auto& first = job("job-1", 10);
   auto& second = job("job-2", wire::kCompletionChunkTasks + 1);
-  first.set_mark(0, model::kDone);
-  second.set_mark(wire::kCompletionChunkTasks, model::kDone);
+  first.set_task_progress(0, model::kTaskDone);
+  second.set_task_progress(wire::kCompletionChunkTasks, model::kTaskDone);
   const auto number = bitmaps.record_of(first, 0);
   EXPECT_EQ(bitmaps.record_of(first, 0), number);
   EXPECT_EQ(bitmaps.record_of(second, 1), number);
   EXPECT_EQ(RecordNumbers::term_of(number), kTerm);
   int calls = 0;
   bitmaps.store(number, state::FlushDelay::exits, count(calls));
-  first.set_mark(3, model::kDone);  // rendered when it is written
+  first.set_task_progress(3, model::kTaskDone);  // rendered when it is written
   commit_all();
   EXPECT_EQ(calls, 1);
   const auto chunks = stored_chunks(number);
@@ -299,7 +299,7 @@
   std::uint64_t number = 0;
   for (int i = 0; i < 8; ++i) {
     auto& made = job(fmt::format("job-{}", i), 600);
-    made.set_mark(kDoneTask, model::kDone);
+    made.set_task_progress(kDoneTask, model::kTaskDone);
     number = bitmaps.record_of(made, 0);
     live.push_back(&made);
   }
