--- a/src/leader/dependencies.cpp
+++ b/src/leader/dependencies.cpp
@@ -1,4 +1,5 @@
-// Jobs that wait for others (not in the paper, whose workflows are known whole; docs/DESIGN.md, "Pipelines").
+// Jobs that depend on other jobs (docs/DESIGN.md, "Pipelines"). Not in the paper, whose workflows are fully
+// known in advance.
 #include <algorithm>
 #include <utility>
 
@@ -12,19 +13,22 @@
 using state::FlushDelay;
 
 namespace {
-// A job's tasks take longer than guessed and not equally long; the next stage waits for the last one.
-constexpr double kStageShare = 1.5;  // of the guess
-constexpr double kStagePaces = 1;    // image, report, commit
+// Estimated duration of a pipeline stage, in multiples of the estimated run time of its tasks. The next stage
+// waits for the last task, and tasks take longer than estimated and not equally long.
+constexpr double kStageDurationFactor = 1.5;
+// Time added per stage for image pull, heartbeat and commit, in control intervals.
+constexpr double kStageOverheadIntervals = 1;
 }  // namespace
 
 DependencyInfo Leader::dependency_info(const Job& job) const {
-  auto fact = model::dependency_info(job.state, job.revision);
-  fact.ended_at = job.ended_at;
-  fact.priority = job.spec.priority;
-  if (job.spec.deadline_s) fact.deadline_at = job.accepted_at + *job.spec.deadline_s;
-  if (job.cutoff) fact.deadline_at = std::min(fact.deadline_at, *job.cutoff);
-  fact.duration_s = kStageShare * estimated_runtime_s(job) + kStagePaces * settings_.control_interval_s;
-  return fact;
+  auto info = model::dependency_info(job.state, job.revision);
+  info.ended_at = job.ended_at;
+  info.priority = job.spec.priority;
+  if (job.spec.deadline_s) info.deadline_at = job.accepted_at + *job.spec.deadline_s;
+  if (job.cutoff) info.deadline_at = std::min(info.deadline_at, *job.cutoff);
+  info.duration_s = kStageDurationFactor * estimated_runtime_s(job) +
+                    kStageOverheadIntervals * settings_.control_interval_s;
+  return info;
 }
 
 DependencyInfo Leader::dependency_info_of(const wire::JobId& id) const {
@@ -48,35 +52,36 @@
     const auto* entry = cache_.find(wire::dependencies_key(id, part));
     incomplete = incomplete || entry == nullptr;
     if (entry == nullptr) continue;
-    auto needs = ports_.store.parsed(wire::dependencies_key(id, part), entry->revision,
-                                     [entry] { return wire::parse_dependencies_part(entry->data); });
-    incomplete = incomplete || !needs;
-    if (!needs) continue;
-    for (auto& need : *needs) job.spec.depends_on.push_back(std::move(need));
+    auto dependencies = ports_.store.parsed(wire::dependencies_key(id, part), entry->revision,
+                                            [entry] { return wire::parse_dependencies_part(entry->data); });
+    incomplete = incomplete || !dependencies;
+    if (!dependencies) continue;
+    for (auto& dependency : *dependencies) job.spec.depends_on.push_back(std::move(dependency));
   }
-  // They are written with the job and deleted after its end: it is over, and the news of that is on its way.
+  // The dependency keys are written together with the job and deleted after it has ended. If one is missing,
+  // the job has ended and the change that records this has not arrived yet.
   if (incomplete) log_->warn("job {}: not all that it waits for is stored", id.value);
   job.dependencies_met = false;
   dependencies_.add(id, dependency_info(job), job.spec.depends_on, incomplete,
-                    [this](const wire::JobId& need) { return dependency_info_of(need); });
+                    [this](const wire::JobId& dependency) { return dependency_info_of(dependency); });
 }
 
 void Leader::apply_dependency_updates() {
-  const auto news = dependencies_.take_updates();
-  for (const auto& id : news.ready)
+  const auto updates = dependencies_.take_updates();
+  for (const auto& id : updates.ready)
     if (const auto job = jobs_.find(id); job != jobs_.end()) release_job(job->second);
-  for (const auto& id : news.cancelled)
+  for (const auto& id : updates.cancelled)
     if (const auto job = jobs_.find(id); job != jobs_.end()) cancel_unstarted_job(job->second);
   fetch_unknown_dependencies();
 }
 
-// Invariant 13: `done` of everything that it needs is committed.
+// Invariant 13: all dependencies of the job are committed as `done`.
 void Leader::release_job(Job& job) {
   if (job.dependencies_met || !job.is_live()) return;
   job.dependencies_met = true;
-  // Written by version 0.2.0 an end has no time.
-  const double ended = dependencies_.ready_at(job.spec.id);
-  job.eligible_at = std::max(job.accepted_at, ended > 0 || !is_leader_ ? ended : loop().wall());
+  // Records written by version 0.2.0 have no end time.
+  const double ended_at = dependencies_.ready_at(job.spec.id);
+  job.eligible_at = std::max(job.accepted_at, ended_at > 0 || !is_leader_ ? ended_at : loop().wall());
   job.eligible_revision = std::max(job.revision, dependencies_.ready_revision(job.spec.id));
   if (!is_leader_) return;
   log_->debug("job {}: all that it waited for is done, {:.1f} s after its acceptance", job.spec.id.value,
@@ -87,7 +92,8 @@
   plan_soon();
 }
 
-// Invariant 14: one that it needs is cancelled. Nothing of it ever started; its record follows.
+// Invariant 14: a dependency of the job is cancelled. No task of the job has ever started; its record is
+// updated later.
 void Leader::cancel_unstarted_job(Job& job) {
   if (!job.is_live()) return;
   job.dependency_cancelled = true;
@@ -98,11 +104,14 @@
   cancelled_dependents_.push_back(job.spec.id);
 }
 
-// A few at a time, behind all else: what the records say decides already, and a cancellation of hundreds must
-// not hold up what tasks wait for.
+// Writes the final records of jobs that were cancelled with a dependency. Only a few at a time, behind all
+// other writes: the records of their dependencies already imply the cancellation, and hundreds of these
+// writes must not delay the ones that tasks wait for.
 void Leader::write_cancelled_dependents() {
-  for (std::size_t room = writes_.batch_limit() / 2; room > 0 && !cancelled_dependents_.empty(); --room) {
-    if (writes_.size() >= writes_.batch_limit() || ports_.store.writes_to_spare() < static_cast<double>(room))
+  for (std::size_t writes_left = writes_.batch_limit() / 2; writes_left > 0 && !cancelled_dependents_.empty();
+       --writes_left) {
+    if (writes_.size() >= writes_.batch_limit() ||
+        ports_.store.writes_to_spare() < static_cast<double>(writes_left))
       return;
     const auto job = jobs_.find(cancelled_dependents_.front());
     cancelled_dependents_.pop_front();
@@ -118,7 +127,8 @@
   return {job.spec, job.state, job.accepted_at, job.ended_at, 0, job.cutoff};
 }
 
-// Named jobs that left memory long ago: not knowing is taken neither for done nor for cancelled.
+// Reads the records of dependencies that are no longer in memory. Until the record is read, such a job counts
+// neither as done nor as cancelled.
 void Leader::fetch_unknown_dependencies() {
   for (const auto& id : dependencies_.take_unknown())
     fetcher_.tell(state::FetchRequest{
@@ -129,12 +139,12 @@
           }
           const auto record = ports_.store.parsed(wire::job_key(id), entry->revision,
                                                   [&entry] { return wire::parse_job_record(entry->data); });
-          const auto phase =
+          const auto state =
               record ? record->state
                      : wire::parse_partial_job_record(entry->data).state.value_or(wire::JobState::accepted);
-          auto found = model::dependency_info(phase, entry->revision);
-          if (record) found.ended_at = record->ended_at;
-          dependencies_.update(id, found);
+          auto info = model::dependency_info(state, entry->revision);
+          if (record) info.ended_at = record->ended_at;
+          dependencies_.update(id, info);
           apply_dependency_updates();
         })});
 }
@@ -144,7 +154,7 @@
     writes_.store(wire::dependencies_key(id, part), std::nullopt, FlushDelay::garbage);
 }
 
-// What is left of jobs that ended while nobody led.
+// Deletes the dependency keys of jobs that ended while no controller was leader.
 void Leader::collect_dependency_garbage() {
   for (auto entry = cache_.entries().lower_bound(wire::kDependencyKeyPrefix);
        entry != cache_.entries().end() && entry->first.starts_with(wire::kDependencyKeyPrefix); ++entry) {
--- a/src/leader/placement.cpp
+++ b/src/leader/placement.cpp
@@ -1,5 +1,6 @@
-// Placement: ready tasks by rising slack, steady machines first, then spot, earliest completion first
-// (the paper's Algorithm 4; design: "Ready tasks go by rising slack").
+// Placement of ready tasks (the paper's Algorithm 4; design, "Ready tasks go by rising slack"): jobs are
+// taken in order of increasing slack. A task goes to an on-demand machine if one fits, otherwise to a spot
+// machine; among these, to the one where it should complete earliest.
 #include <algorithm>
 #include <cmath>
 #include <limits>
@@ -18,24 +19,32 @@
 using wire::CommandType;
 
 namespace {
-constexpr int kBindsPerTurn = 200;
-constexpr double kServicesTogether = 8;        // may be on one machine in any case
-constexpr double kServiceShare = 0.04;         // of all services: may be on one machine
-constexpr double kSpreadBoots = 2;             // boots that a service waits for a machine that has fewer
-constexpr std::size_t kMachinesLookedAt = 48;  // for one that should drain for a task
-constexpr std::size_t kRoomTries = queue::kCandidatesTried;  // jobs in a pass that look for others to stop
-constexpr double kRounding = 1e-6;
-const std::string kDrains = "a machine drains for it";
+constexpr int kMaxStartsPerPass = 200;
+// Services of the requested size that one machine may hold in any case.
+constexpr double kServicesAlwaysAllowed = 8;
+// One machine may also hold services up to this part of all service cores, if that is more.
+constexpr double kMaxServiceShare = 0.04;
+// How long a service waits for a machine with fewer services, in multiples of the longest boot time.
+constexpr double kSpreadWaitBootTimes = 2;
+// Machines examined in one search for a machine to reserve for a waiting task.
+constexpr std::size_t kReservationSearchMachines = 48;
+// Jobs that may search for preemption victims in one placement pass.
+constexpr std::size_t kMaxVictimSearches = queue::kCandidatesTried;
+constexpr double kRoundingTolerance = 1e-6;
+const std::string kDrainingReason = "a machine drains for it";
 }  // namespace
 
-// One pass over the waiting jobs: what it may still do, and what it has found.
+// State of one placement pass: its remaining limits and what it has found so far.
 struct Leader::PlacementPass {
-  int binds_left = kBindsPerTurn;
-  std::size_t preemptions_left = kRoomTries;
+  int starts_left = kMaxStartsPerPass;
+  std::size_t victim_searches_left = kMaxVictimSearches;
   UnplaceableRequests unplaceable;
-  std::set<wire::MachineId> answered_machines;  // whose heartbeat waits for its answer
-  CommandsByMachine starts;                     // for the other machines
-  bool tasks_wait = false;                      // for a machine
+  // Machines whose last heartbeat is not answered yet; their start commands go out with the response.
+  std::set<wire::MachineId> machines_awaiting_response;
+  // Start commands that are sent directly when the pass ends, except to `machines_awaiting_response`.
+  CommandsByMachine start_commands;
+  // Whether some task found no machine.
+  bool has_unplaced_tasks = false;
 };
 
 void Leader::schedule_placement() {
@@ -53,7 +62,7 @@
                                    {},
                                    settings_.begin_within_s,
                                    settings_.largest_share};
-  for (const auto& item : settings_.teams) result.weights[item.name] = item.guarantee.cores;
+  for (const auto& team : settings_.teams) result.weights[team.name] = team.guarantee.cores;
   return result;
 }
 
@@ -61,13 +70,16 @@
   return {[this](const Job& job) { return may_start(job); },
           [this](const Job& job) { return within_guarantee(job); },
           [this](const Job& job) {
-            const auto goal = dependencies_.effective_deadline(job.spec.id);
-            const auto found = goal.job_id.value.empty() ? jobs_.end() : jobs_.find(goal.job_id);
-            return queue::Deadline{found == jobs_.end() ? nullptr : &found->second, goal.downstream_s};
+            const auto effective_deadline = dependencies_.effective_deadline(job.spec.id);
+            const auto found =
+                effective_deadline.job_id.value.empty() ? jobs_.end() : jobs_.find(effective_deadline.job_id);
+            return queue::Deadline{found == jobs_.end() ? nullptr : &found->second,
+                                   effective_deadline.downstream_s};
           }};
 }
 
-// Invariant 5: what an earlier leader may have started waits until no unconfirmed machine could hold it.
+// Invariant 5: a task that an inherited machine may still run is not started again. Returns whether an
+// unconfirmed machine could hold tasks of the job that an earlier leader started.
 bool Leader::may_run_on_unconfirmed_machine(const Job& job) const {
   if (job.eligible_revision > elected_at_revision_ || fleet_.total().unconfirmed == 0) return false;
   return std::any_of(fleet_.pools().begin(), fleet_.pools().end(), [&](const auto& entry) {
@@ -84,12 +96,13 @@
 bool Leader::quota_admits(const Job& job, std::uint32_t tasks) {
   const auto admission =
       quota_.admit(job.spec.team, job.spec.request, tasks, fleet_.total().unconfirmed_capacity, term_);
-  // Invariant 21: what the next leader is to count on is raised before it is used.
+  // Invariant 21: the recorded bound that the next leader relies on is raised before the capacity is used.
   if (admission == Admission::bound_not_covered) write_quota(false);
   return admission == Admission::allowed;
 }
 
-// One record for all teams, a put when one nears its bound; lowered once a round.
+// All teams share one record. It is written when a team's usage nears its bound; bounds are lowered only once
+// per planning round.
 void Leader::write_quota(bool lower) {
   const auto record = quota_.next_record(fleet_.total().unconfirmed_capacity, term_, lower);
   if (!record) return;
@@ -107,35 +120,37 @@
   const auto& spec = job.spec;
   if (spec.zone && *spec.zone != zone) return false;
   if (!spec.zone_affinity && !spec.zone_spread) return true;
-  // Invariant 5: tasks of an unconfirmed machine are not known.
+  // Invariant 5: the tasks on unconfirmed machines are unknown, so tasks cannot be counted by zone yet.
   if (job.eligible_revision <= elected_at_revision_ && fleet_.total().unconfirmed > 0) return false;
   const auto found = job.tasks_by_zone.find(zone);
-  const std::uint32_t here = found == job.tasks_by_zone.end() ? 0 : found->second;
-  if (spec.zone_affinity && job.task_machines.size() > here) return false;
-  return !spec.zone_spread || here < (spec.task_count + 1) / 2;
+  const std::uint32_t tasks_in_zone = found == job.tasks_by_zone.end() ? 0 : found->second;
+  if (spec.zone_affinity && job.task_machines.size() > tasks_in_zone) return false;
+  return !spec.zone_spread || tasks_in_zone < (spec.task_count + 1) / 2;
 }
 
-// One machine's end must not take too large a part of all services with it.
+// Whether one more service would put too large a part of all services on this machine, so that its failure
+// would stop too many at once.
 bool Leader::has_too_many_services(const Machine& machine, const Job& job) const {
   if (!job.is_service()) return false;
-  // In a fleet of few large machines none with fewer ever comes: hundreds waited for minutes beside free
-  // cores.
+  // The limit is dropped for services that have waited long. In a fleet of few large machines, none with
+  // fewer services ever appears: hundreds of services waited for minutes beside free cores.
   if (!job.has_started() &&
-      loop().wall() - job.eligible_at > kSpreadBoots * planner::longest_boot_s(machine_types_))
+      loop().wall() - job.eligible_at > kSpreadWaitBootTimes * planner::longest_boot_s(machine_types_))
     return false;
-  const double most =
-      std::max(kServicesTogether * job.spec.request.cores, kServiceShare * quota_.service_cores());
-  return machine.service_cores + job.spec.request.cores > most + kRounding;
+  const double max_cores =
+      std::max(kServicesAlwaysAllowed * job.spec.request.cores, kMaxServiceShare * quota_.service_cores());
+  return machine.service_cores + job.spec.request.cores > max_cores + kRoundingTolerance;
 }
 
-// Whether the task itself may be on the machine, whatever else waits.
+// Whether this task may run on the machine, regardless of free resources and reservations.
 bool Leader::is_suitable(const Machine& machine, const Job& job, const wire::TaskId& task) const {
   return !job.failed_on.contains(machine.id) && !has_too_many_services(machine, job) &&
          zone_allows(job, machine.zone) && !machine.exited_attempts.contains(task);
 }
 
-// Whether room on the machine is for others: tasks were stopped there for another job, or it drains for one.
-// Also if tasks were stopped elsewhere for the job's last task, which would be in vain.
+// Whether the machine's free resources are reserved for another job: tasks were preempted there for that job,
+// or the machine drains for it. Also true if tasks were preempted on a different machine for this job's last
+// ready task: placing it here would waste that preemption.
 bool Leader::is_reserved_for_others(const Machine& machine, const Job& job, wire::Priority priority,
                                     double now) const {
   const auto& id = job.spec.id;
@@ -153,35 +168,36 @@
              : job.spec.image_size_gb / type->image_pull_gb_per_s;
 }
 
-// Looks among the steady or the preemptible machines for one that takes the job's next task, and adds to
-// `search` why there is none.
-void Leader::search_machines(const Job& job, bool reclaimable, MachineSearchResult& search) {
+// Searches the on-demand or the preemptible machines for one that can take the job's next task. Records in
+// `search` why others were rejected.
+void Leader::search_machines(const Job& job, bool preemptible, MachineSearchResult& search) {
   const double now = loop().now();
   const auto priority = effective_priority(job);
   const wire::TaskId task{job.spec.id, job.cursor};
-  // When zones are apart, the leader is where most controllers are: services elsewhere would end with their
-  // machines' leases.
+  // When the network between zones is partitioned, the leader is in the zone with most controllers. Services
+  // in the other zones would stop when their machines' leases expire.
   const bool prefers_main_zone = job.is_service() && !settings_.main_zone.empty();
-  bool reserved = false;
-  bool unsuitable = false;
-  model::Fleet::MachineQuery choice{
-      job.spec, reclaimable,
-      // A service stays: on a large machine it would keep all of it rented.
+  bool found_reserved = false;
+  bool found_unsuitable = false;
+  model::Fleet::MachineQuery query{
+      job.spec, preemptible,
+      // A service runs until it is cancelled: on a large machine it would keep the whole machine rented.
       job.is_service(), [&](const Pool& pool) { return image_pull_s(job, pool); },
       [&](const Pool& pool) {
         return prefers_main_zone && pool.zone != settings_.main_zone ? settings_.control_interval_s : 0.0;
       },
       [&](const Machine& machine) {
-        const bool fine = is_suitable(machine, job, task);
-        const bool for_others = fine && is_reserved_for_others(machine, job, priority, now);
-        unsuitable = unsuitable || !fine;
-        reserved = reserved || for_others;
-        return fine && !for_others;
+        const bool suitable = is_suitable(machine, job, task);
+        const bool reserved_for_another = suitable && is_reserved_for_others(machine, job, priority, now);
+        found_unsuitable = found_unsuitable || !suitable;
+        found_reserved = found_reserved || reserved_for_another;
+        return suitable && !reserved_for_another;
       },
       false};
-  search.machine = fleet_.find_best(choice);
-  search.rejected_for_task = search.rejected_for_task || unsuitable || (choice.skipped_any && !reserved);
-  search.rejected_as_reserved = search.rejected_as_reserved || reserved;
+  search.machine = fleet_.find_best(query);
+  search.rejected_for_task =
+      search.rejected_for_task || found_unsuitable || (query.skipped_any && !found_reserved);
+  search.rejected_as_reserved = search.rejected_as_reserved || found_reserved;
 }
 
 void Leader::assign_task(Machine& machine, Job& job, std::uint32_t index) {
@@ -201,14 +217,14 @@
   add_assignment(machine, std::move(assignment));
 }
 
-// Books what a batch task holds for its team and class, or with -1 gives it back.
+// Adds the cores of a batch task to those allocated to its team and class (`sign` 1), or subtracts them (-1).
 void Leader::adjust_allocated_cores(const model::Assignment& assignment, double sign) {
   if (!assignment.is_service)
     queue_.adjust_allocated_cores({assignment.team, assignment.job_class}, assignment.largest,
                                   sign * assignment.request.cores);
 }
 
-// Books the task on the machine, for its team and for its job.
+// Adds an assignment to its machine, to the quota usage of its team and to its job.
 void Leader::add_assignment(Machine& machine, model::Assignment assignment) {
   machine.used += assignment.request;
   if (assignment.is_service) machine.service_cores += assignment.request.cores;
@@ -234,7 +250,8 @@
     log_->info("overload: over, work goes by slack again");
 }
 
-// The paper's Algorithm 4: goes through the waiting jobs, best first, and starts their tasks where they fit.
+// One placement pass (the paper's Algorithm 4): goes through the waiting jobs, best first, and starts their
+// tasks where they fit.
 void Leader::run_placement_pass() {
   if (!is_active_leader() || machine_types_.empty() || loop().now() < unreadable_machine_leases_until_)
     return answer_pending_heartbeats();
@@ -242,24 +259,26 @@
   move_gangs();
   review_preemptions();
   preemption_reservations_.begin_pass();
-  const auto& order = queue_.ordered_candidates({loop().now(), loop().wall()});
+  const auto& candidates = queue_.ordered_candidates({loop().now(), loop().wall()});
   schedule_pass_at_reorder();
   PlacementPass pass;
-  for (const auto& waiting : pending_responses_) pass.answered_machines.insert(waiting.machine_id);
-  for (const auto& candidate : order) {
-    if (pass.binds_left <= 0) break;
+  for (const auto& response : pending_responses_) pass.machines_awaiting_response.insert(response.machine_id);
+  for (const auto& candidate : candidates) {
+    if (pass.starts_left <= 0) break;
     place_job(candidate, pass);
   }
   send_start_commands(pass);
   answer_pending_heartbeats();
-  if (pass.binds_left > 0) preemption_reservations_.end_pass();
+  if (pass.starts_left > 0) preemption_reservations_.end_pass();
   log_ended_preemptions();
-  if (pass.tasks_wait) plan_soon();
-  // Bounded, so that leases, reports and probes are never late behind thousands of tasks.
-  if (pass.binds_left <= 0) schedule_placement();
+  if (pass.has_unplaced_tasks) plan_soon();
+  // The number of starts per pass is limited, so that leases, heartbeats and probes are not delayed behind
+  // thousands of tasks. The next pass continues.
+  if (pass.starts_left <= 0) schedule_placement();
 }
 
-// The order of many waiting jobs lasts for a while: the next one may show others although nothing happened.
+// With many waiting jobs, the queue reuses its order for some time. Schedules a pass for the next reordering,
+// because the new order may contain other jobs even without any event in between.
 void Leader::schedule_pass_at_reorder() {
   if (queue_.reorder_delay_s() <= 0 || placement_timer_) return;
   placement_timer_ = loop().after(queue_.reorder_delay_s(), guard([this] {
@@ -271,44 +290,49 @@
 void Leader::place_job(const queue::Candidate& candidate, PlacementPass& pass) {
   const bool has_reservation = backfill_reservations_.machine_of(candidate.id) != nullptr ||
                                preemption_reservations_.is_pending(candidate.id, loop().now());
-  const bool hopeless = !has_reservation && pass.unplaceable.cover(candidate);
-  // Thousands may wait in vain: only the first of them make room, the others cost a comparison.
-  if (hopeless && pass.preemptions_left == 0 && !gangs_.follows(candidate.id)) return;
+  const bool known_unplaceable = !has_reservation && pass.unplaceable.covers(candidate);
+  // Thousands of jobs may be unplaceable at a time. Only the first of them search for preemption victims; the
+  // others cost one comparison each.
+  if (known_unplaceable && pass.victim_searches_left == 0 && !gangs_.follows(candidate.id)) return;
   auto* const job = queue_.find(candidate.id);
   if (job == nullptr || !may_start(*job)) return;
   if (gangs_.follows(job->spec.id)) {
-    pass.binds_left -= place_gangs(*job, pass.starts);
-    pass.tasks_wait = pass.tasks_wait || placeable_tasks(*job) > 0;
+    pass.starts_left -= place_gangs(*job, pass.start_commands);
+    pass.has_unplaced_tasks = pass.has_unplaced_tasks || placeable_tasks(*job) > 0;
     return;
   }
   if (candidate.first_task_only && job->has_started()) return;
-  place_tasks(*job, candidate.first_task_only, hopeless, pass);
+  place_tasks(*job, candidate.first_task_only, known_unplaceable, pass);
 }
 
-// Starts the job's ready tasks until one finds no machine; `first_only`: one of them.
-void Leader::place_tasks(Job& job, bool first_only, bool hopeless, PlacementPass& pass) {
+// Starts ready tasks of the job until one finds no machine, or only one task if `first_task_only`. If
+// `known_unplaceable`, no search is made, because an earlier job of this pass found no machine for a request
+// that is no larger.
+void Leader::place_tasks(Job& job, bool first_task_only, bool known_unplaceable, PlacementPass& pass) {
   std::uint32_t index = 0;
-  while (pass.binds_left > 0 && !job.has_trial_task() && job.find_ready_task(index)) {
+  while (pass.starts_left > 0 && !job.has_trial_task() && job.find_ready_task(index)) {
     if (!quota_admits(job)) {
       job.reason = "the team's limit is reached";
       return;
     }
-    const auto search = hopeless ? MachineSearchResult{} : find_machine(job);
-    if (search.machine == nullptr) return on_no_machine_found(job, search, hopeless, pass);
-    // A service that would have to wait for its image starts sooner where a batch makes room beside it.
-    const bool must_fetch = !search.machine->images.contains(job.spec.image);
-    if (job.is_service() && must_fetch && !search.preempted && preempt_for(job, search.machine) &&
+    const auto search = known_unplaceable ? MachineSearchResult{} : find_machine(job);
+    if (search.machine == nullptr) return on_no_machine_found(job, search, known_unplaceable, pass);
+    // A service whose image is missing on the machine found may start sooner on a machine that has the image,
+    // once victims there are stopped.
+    const bool must_pull_image = !search.machine->images.contains(job.spec.image);
+    if (job.is_service() && must_pull_image && !search.preempted && preempt_for(job, search.machine) &&
         job.ready_count < 2)
       return;
     start_task(*search.machine, job, index, pass);
-    if (first_only) {
+    if (first_task_only) {
       search.machine->assignments.at({job.spec.id, index}).started_for_long_wait = true;
       return record_early_start(job);
     }
   }
 }
 
-// Where room was made for it, else steady machines first, then preemptible ones if the job allows them.
+// Prefers the machine on which victims were stopped for this job, then on-demand machines, then preemptible
+// ones if the job allows them.
 Leader::MachineSearchResult Leader::find_machine(const Job& job) {
   MachineSearchResult search;
   if (auto* const machine = find_freed_machine(job)) {
@@ -322,35 +346,37 @@
   return search;
 }
 
-// Room that services to come will need is not given to batches.
-// Except to the few for which a machine drains: what ends beside it goes to smaller ones, which fit above the
-// reserve sooner.
+// Whether starting a batch task would use on-demand cores that are reserved for future services. A job for
+// which a machine drains is exempt: otherwise the cores that become free elsewhere would go to smaller tasks,
+// which fit above the reserve sooner.
 bool Leader::would_use_service_reserve(const Job& job) const {
   if (job.is_service() || backfill_reservations_.machine_of(job.spec.id) != nullptr) return false;
-  double steady_free = 0;
+  double free_on_demand_cores = 0;
   for (const auto& [pool, state] : fleet_.pools())
-    if (!pool.preemptible) steady_free += state.totals.free_cores;
-  return steady_free - job.spec.request.cores < autoscaler_.reserved_cores() - kRounding;
+    if (!pool.preemptible) free_on_demand_cores += state.totals.free_cores;
+  return free_on_demand_cores - job.spec.request.cores < autoscaler_.reserved_cores() - kRoundingTolerance;
 }
 
-// The job's next task found no machine: says why, and may make one drain or stop other tasks for it.
-void Leader::on_no_machine_found(Job& job, const MachineSearchResult& search, bool hopeless,
+// Handles a task that found no machine: sets the reason that the job shows, and may reserve a machine for the
+// job or stop victims for it.
+void Leader::on_no_machine_found(Job& job, const MachineSearchResult& search, bool known_unplaceable,
                                  PlacementPass& pass) {
-  pass.tasks_wait = true;
+  pass.has_unplaced_tasks = true;
   if (!job.faulty) job.reason = kNoMachineHasRoom;
-  if (!hopeless && !search.rejected_for_task && !job.spec.machine_types && !job.spec.zone)
+  if (!known_unplaceable && !search.rejected_for_task && !job.spec.machine_types && !job.spec.zone)
     pass.unplaceable.add(
         {job.spec.request, job.spec.allows_preemptible,
          search.rejected_as_reserved ? estimated_runtime_s(job) : 0,
          search.rejected_as_reserved ? effective_priority(job) : wire::Priority::production});
-  // Also when less is free in all than it needs, as in any full fleet.
-  if (queue_.is_overdue(job, loop().wall()) && reserve_for_backfill(job)) job.reason = kDrains;
-  if (job.faulty || pass.preemptions_left == 0) return;
-  --pass.preemptions_left;
+  // Applies even if the whole fleet has less free capacity than the task needs, as in any full fleet.
+  if (queue_.is_overdue(job, loop().wall()) && reserve_for_backfill(job)) job.reason = kDrainingReason;
+  if (job.faulty || pass.victim_searches_left == 0) return;
+  --pass.victim_searches_left;
   preempt_for(job);
 }
 
-// With what is known of the machine's lease: it may end before the task's first heartbeat is answered.
+// Logs when the machine's last heartbeat was answered, because the machine's lease may expire before the
+// first heartbeat with the task is answered.
 void Leader::log_start(const Machine& machine, const wire::TaskId& task) const {
   const double term_age_s = loop().now() - term_began_at_;
   if (machine.answered_at)
@@ -366,12 +392,13 @@
   assign_task(machine, job, index);
   backfill_reservations_.release(job.spec.id);
   preemption_reservations_.task_placed(job.spec.id, machine.id, job.ready_count > 0, effective_priority(job));
-  --pass.binds_left;
+  --pass.starts_left;
   const wire::TaskId task{job.spec.id, index};
   log_start(machine, task);
-  // A machine whose heartbeat waits for its answer gets the order with it.
-  if (!pass.answered_machines.contains(machine.id))
-    pass.starts[machine.id].push_back({CommandType::start, task, machine.assignments.at(task).attempt, 0});
+  // A machine whose heartbeat is not answered yet receives the command with the response.
+  if (!pass.machines_awaiting_response.contains(machine.id))
+    pass.start_commands[machine.id].push_back(
+        {CommandType::start, task, machine.assignments.at(task).attempt, 0});
   if (job.ready_count == 0) job.reason.clear();
 }
 
@@ -382,47 +409,49 @@
 }
 
 void Leader::send_start_commands(PlacementPass& pass) {
-  for (auto& [host, commands] : pass.starts) {
-    if (pass.answered_machines.contains(host)) continue;
-    if (auto* machine = fleet_.find(host)) send_command(*machine, std::move(commands));
+  for (auto& [machine_id, commands] : pass.start_commands) {
+    if (pass.machines_awaiting_response.contains(machine_id)) continue;
+    if (auto* machine = fleet_.find(machine_id)) send_command(*machine, std::move(commands));
   }
 }
 
-// Chooses the machine that should have room for one of its tasks first, and keeps it: else smaller tasks pass
-// it for as long as they come. Says whether one is kept for it.
+// Reserves the machine that is expected to have capacity for one of the job's tasks first, so that it drains
+// for the job: otherwise smaller tasks keep overtaking the job as long as they arrive. Returns whether a
+// machine is reserved for the job.
 bool Leader::reserve_for_backfill(Job& job) {
   const double now = loop().now();
-  const auto drains = [](const Machine& machine) { return machine.takes_tasks() && !machine.overdue; };
+  const auto is_usable = [](const Machine& machine) { return machine.takes_tasks() && !machine.overdue; };
   if (const auto* machine_id = backfill_reservations_.machine_of(job.spec.id)) {
     const auto* machine = fleet_.peek(*machine_id);
-    if (machine == nullptr || !drains(*machine))
+    if (machine == nullptr || !is_usable(*machine))
       backfill_reservations_.drop_machine(wire::MachineId{*machine_id});
   }
   if (!backfill_reservations_.should_reserve(job.spec.id, now))
     return backfill_reservations_.machine_of(job.spec.id) != nullptr;
   const Machine* best = nullptr;
-  double best_at = std::numeric_limits<double>::max();
-  fleet_.visit_after(backfill_cursor_, kMachinesLookedAt, [&](const Machine& machine) {
-    if (!drains(machine) || backfill_reservations_.is_reserved(machine.id)) return;
+  double best_fit_at = std::numeric_limits<double>::max();
+  fleet_.visit_after(backfill_cursor_, kReservationSearchMachines, [&](const Machine& machine) {
+    if (!is_usable(machine) || backfill_reservations_.is_reserved(machine.id)) return;
     if (preemption_reservations_.is_reserved(machine.id, now)) return;
     if (!could_run_on(machine, job) || job.failed_on.contains(machine.id)) return;
-    const auto at = expected_fit_at(machine, job.spec.request);
-    if (!at || *at >= best_at) return;
+    const auto fit_at = expected_fit_at(machine, job.spec.request);
+    if (!fit_at || *fit_at >= best_fit_at) return;
     best = &machine;
-    best_at = *at;
+    best_fit_at = *fit_at;
   });
   if (best == nullptr) return false;
-  backfill_reservations_.reserve(job.spec.id, best->id, best_at);
+  backfill_reservations_.reserve(job.spec.id, best->id, best_fit_at);
   ++event_counts_["machines kept for large tasks"];
   log_->debug("job {}: waits for {:.0f} s, machine {} drains for it and should have room in {:.0f} s",
-              job.spec.id.value, loop().wall() - job.eligible_at, best->id.value, best_at - now);
+              job.spec.id.value, loop().wall() - job.eligible_at, best->id.value, best_fit_at - now);
   return true;
 }
 
-// When enough of the machine's tasks should have ended, by their estimated runtimes; nothing if they do not.
+// Time (seconds, steady clock) at which enough tasks on the machine should have ended for the request to fit,
+// by their estimated run times. Nothing if the request would not fit even then.
 std::optional<double> Leader::expected_fit_at(const Machine& machine, const wire::Resources& request) const {
   struct Ending {
-    double at = 0;
+    double ends_at = 0;
     wire::Resources resources;
   };
   const double now = loop().now();
@@ -433,24 +462,25 @@
     const double remaining_s = std::max(0.0, estimated_runtime_s(job->second) - assignment.running_s(now));
     endings.push_back({assignment.stopping ? now : now + remaining_s, assignment.request});
   }
-  std::sort(endings.begin(), endings.end(), [](const Ending& a, const Ending& b) { return a.at < b.at; });
-  auto room = machine.available();
-  double at = now;
+  std::sort(endings.begin(), endings.end(),
+            [](const Ending& a, const Ending& b) { return a.ends_at < b.ends_at; });
+  auto free = machine.available();
+  double fit_at = now;
   for (const auto& ending : endings) {
-    if (request.fits(room)) break;
-    room += ending.resources;
-    at = ending.at;
+    if (request.fits(free)) break;
+    free += ending.resources;
+    fit_at = ending.ends_at;
   }
-  return request.fits(room) ? std::optional(at) : std::nullopt;
+  return request.fits(free) ? std::optional(fit_at) : std::nullopt;
 }
 
 void Leader::answer_pending_heartbeats() {
-  for (auto& waiting : std::exchange(pending_responses_, {})) {
-    auto* machine = fleet_.find(waiting.machine_id);
+  for (auto& response : std::exchange(pending_responses_, {})) {
+    auto* machine = fleet_.find(response.machine_id);
     if (machine == nullptr || !is_active_leader())
-      waiting.reply({});
+      response.reply({});
     else
-      answer_heartbeat(*machine, waiting.sequence, waiting.reply);
+      answer_heartbeat(*machine, response.sequence, response.reply);
   }
 }
 
--- a/src/leader/preemption_execution.cpp
+++ b/src/leader/preemption_execution.cpp
@@ -1,5 +1,5 @@
-// Preemption: which tasks are stopped for a job that finds no machine, and what becomes of the room
-// (docs/DESIGN.md, "Preemption by rank and for guarantees").
+// Preemption, as carried out by the leader (docs/DESIGN.md, "Preemption by rank and for guarantees"): when
+// victims are stopped for a job that finds no machine, and who may use the freed resources.
 #include <algorithm>
 
 #include "leader/leader.hpp"
@@ -11,20 +11,28 @@
 using queue::estimated_runtime_s;
 
 namespace {
-// In control intervals.
-constexpr double kRoomPaces = 4;         // for which a batch waits for the room that was made for it
-constexpr double kServiceRoomPaces = 2;  // the same for a service
-constexpr double kStopPaces =
-    8;  // the same for any, where the machine was heard since: the stop is under way
-constexpr double kLostStartPaces = 2;  // for which room is waited for again after a start there was lost
-constexpr double kSearchAgain = 0.2;   // after which a batch looks for others to stop again
-constexpr std::size_t kMachinesSearched = 48;  // for tasks to stop, at a time
-constexpr double kRounding = 1e-6;
+// The following durations are in control intervals.
+
+// How long resources stay reserved for a batch job after its victims' grace periods, and for any job after
+// its last victim is gone.
+constexpr double kReservationIntervals = 4;
+// How long they stay reserved for a service after its victims' grace periods.
+constexpr double kServiceReservationIntervals = 2;
+// How long any job waits, counted from the decision, if the machine has been in contact since then: the stop
+// commands are being carried out.
+constexpr double kStopInProgressIntervals = 8;
+// How long freed resources are reserved again after a start command for that machine was lost.
+constexpr double kLostStartIntervals = 2;
+// Minimum time between two victim searches for the same batch job.
+constexpr double kSearchRetryIntervals = 0.2;
+// Machines examined in one victim search.
+constexpr std::size_t kMachinesPerSearch = 48;
+constexpr double kRoundingTolerance = 1e-6;
 }  // namespace
 
-// Stops tasks that the selector chooses on one machine, so that a task of the job can start. Says whether
-// room is on its way.
-bool Leader::preempt_for(Job& job, const Machine* instead_of) {
+// Stops the victims that the selector chooses on one machine, so that a task of the job can start there.
+// Returns whether resources are being freed for the job.
+bool Leader::preempt_for(Job& job, const Machine* machine_without_image) {
   const double now = loop().now();
   switch (preemption_state(job)) {
     case PreemptionState::pending:
@@ -36,23 +44,26 @@
   }
   job.preemption_tried_at = now;
   Preemptor preemptor{job, effective_priority(job), may_reclaim_borrowed(job)};
-  // What takes longer to stop than the image to fetch makes it start no sooner.
-  if (instead_of != nullptr)
-    preemptor.longest_stop_s =
-        image_pull_s(job, {instead_of->machine_type, instead_of->zone, instead_of->preemptible});
-  if (!preemptor.reclaims_borrowed && quota_.cores_below(preemptor.priority) < kRounding) return false;
+  // If a victim takes longer to stop than the image takes to pull, the service would start no sooner.
+  if (machine_without_image != nullptr)
+    preemptor.max_grace_period_s =
+        image_pull_s(job, {machine_without_image->machine_type, machine_without_image->zone,
+                           machine_without_image->preemptible});
+  if (!preemptor.reclaims_borrowed && quota_.cores_below(preemptor.priority) < kRoundingTolerance)
+    return false;
   const auto allowed = [&](const Machine& machine) {
     return could_preempt_on(machine, job) &&
-           (instead_of == nullptr || machine.images.contains(job.spec.image));
+           (machine_without_image == nullptr || machine.images.contains(job.spec.image));
   };
-  // A part of the fleet at a time, going round: the best of some dozens is hardly worse than the best of all.
-  const auto chosen = victim_selector_.choose(fleet_, kMachinesSearched, preemptor, allowed, now);
+  // Examines a part of the fleet at a time, in round-robin order: the best of some dozens of machines is
+  // hardly worse than the best of all.
+  const auto chosen = victim_selector_.choose(fleet_, kMachinesPerSearch, preemptor, allowed, now);
   if (!chosen) return false;
   job.triggered_preemption_at = now;
-  const double paces = job.is_service() ? kServiceRoomPaces : kRoomPaces;
+  const double intervals = job.is_service() ? kServiceReservationIntervals : kReservationIntervals;
   const auto number = preemption_reservations_.reserve(
       job.spec.id, chosen->machine_id, preemptor.priority, job.spec.request, now,
-      now + max_grace_period_s(*chosen) + paces * settings_.control_interval_s);
+      now + max_grace_period_s(*chosen) + intervals * settings_.control_interval_s);
   log_->debug("preemption {}: makes room on {} for job {} ({}{}{}), {} tasks are stopped", number,
               chosen->machine_id.value, job.spec.id.value, name_of(preemptor.priority),
               job.is_service() ? ", a service" : "", preemptor.reclaims_borrowed ? ", reclaims" : "",
@@ -61,7 +72,8 @@
   return true;
 }
 
-// Whether a task of the job could start there at once if it had room: else others were stopped in vain.
+// Whether a task of the job could start on the machine as soon as the victims are gone. If not, stopping them
+// would be useless.
 bool Leader::could_preempt_on(const Machine& machine, const Job& job) const {
   const double now = loop().now();
   const wire::TaskId next_task{job.spec.id, job.cursor};
@@ -74,24 +86,25 @@
 double Leader::grace_period_s(const wire::JobId& id) const { return checkpoint_grace_s(jobs_.at(id).spec); }
 
 double Leader::max_grace_period_s(const PreemptionCandidate& chosen) const {
-  double longest = 0;
-  for (const auto& victim : chosen.victims) longest = std::max(longest, grace_period_s(victim.job));
-  return longest;
+  double max_grace_s = 0;
+  for (const auto& victim : chosen.victims) max_grace_s = std::max(max_grace_s, grace_period_s(victim.job));
+  return max_grace_s;
 }
 
-// Whether other tasks may be stopped for the job now.
+// Whether victims may be stopped for the job now.
 Leader::PreemptionState Leader::preemption_state(const Job& job) const {
   const double now = loop().now();
   if (preemption_reservations_.is_pending(job.spec.id, now)) return PreemptionState::pending;
   if (now - job.triggered_preemption_at < settings_.control_interval_s) return PreemptionState::deferred;
   if (job.is_service()) return PreemptionState::allowed;
-  // A batch in a flood is one of thousands that look for room at each event.
-  return now - job.preemption_tried_at < kSearchAgain * settings_.control_interval_s
+  // In a flood of batch jobs, thousands of them search for victims at each event, so the searches of each are
+  // limited in rate.
+  return now - job.preemption_tried_at < kSearchRetryIntervals * settings_.control_interval_s
              ? PreemptionState::deferred
              : PreemptionState::allowed;
 }
 
-// The machine where room was made for the job's task, once it is there.
+// The machine on which victims were stopped for the job, once the request fits there; null before that.
 Machine* Leader::find_freed_machine(const Job& job) {
   const auto* machine_id = preemption_reservations_.machine_of(job.spec.id, loop().now());
   if (machine_id == nullptr) return nullptr;
@@ -102,81 +115,87 @@
   return usable && preemption_reservations_.machines().at(*machine_id).all_victims_gone() ? machine : nullptr;
 }
 
-// Ends what can be used no more, and lets go the jobs that have waited for too long. Few are under way.
+// Ends preemptions whose resources can no longer be used, and opens those to other jobs that their own job
+// has waited for too long. Only a few are in progress at a time.
 void Leader::review_preemptions() {
-  std::vector<std::pair<wire::MachineId, queue::PreemptionEnd>> over;
-  std::vector<wire::MachineId> too_late;
+  std::vector<std::pair<wire::MachineId, queue::PreemptionEnd>> to_end;
+  std::vector<wire::MachineId> to_open;
   for (const auto& [machine_id, preemption] : preemption_reservations_.machines()) {
     const auto* machine = fleet_.peek(machine_id);
     const bool filled = preemption.phase == queue::PreemptionPhase::filled;
     if (machine == nullptr || (!filled && (machine->terminating || machine->draining)))
-      over.emplace_back(machine_id, queue::PreemptionEnd::machine_lost);
+      to_end.emplace_back(machine_id, queue::PreemptionEnd::machine_lost);
     else if (preemption.phase != queue::PreemptionPhase::bound)
       continue;
     else if (preemption.all_victims_gone() && !preemption.request.fits(machine->available()))
-      over.emplace_back(machine_id, queue::PreemptionEnd::taken_by_higher_priority);
+      to_end.emplace_back(machine_id, queue::PreemptionEnd::taken_by_higher_priority);
     else if (const double limit = preemption_deadline(preemption, *machine); loop().now() > limit)
-      too_late.push_back(machine_id);
+      to_open.push_back(machine_id);
     else
       preemption_reservations_.extend(machine_id, limit);
   }
-  for (const auto& [machine_id, how] : over) preemption_reservations_.end(machine_id, how);
-  for (const auto& machine_id : too_late) preemption_reservations_.open_to_others(machine_id);
-  if (!over.empty() || !too_late.empty()) schedule_placement();
+  for (const auto& [machine_id, reason] : to_end) preemption_reservations_.end(machine_id, reason);
+  for (const auto& machine_id : to_open) preemption_reservations_.open_to_others(machine_id);
+  if (!to_end.empty() || !to_open.empty()) schedule_placement();
 }
 
-// A machine that was heard since carries out the stop, however long its news take; one that was not, or that
-// is known not to hear, may never do it. Counted from what happened, not from now, so that it comes to an
-// end.
+// Until when the job waits for a preemption (steady clock, seconds). A machine that has been in contact since
+// the decision carries out the stop, however long its confirmation takes. A machine without contact, or with
+// its downlink lost, may never do so. The time is derived from past events and not from the current time, so
+// that the wait ends.
 double Leader::preemption_deadline(const queue::Preemption& preemption, const Machine& machine) const {
   const double interval = settings_.control_interval_s;
-  const bool heard = machine.last_contact > preemption.decided_at && !machine.overdue;
+  const bool had_contact = machine.last_contact > preemption.decided_at && !machine.overdue;
   if (preemption.all_victims_gone())
-    return std::max(preemption.planned_expires_at, preemption.vacated_at + kRoomPaces * interval);
-  if (heard && !machine.downlink.considered_lost())
-    return std::max(preemption.planned_expires_at, preemption.decided_at + kStopPaces * interval);
+    return std::max(preemption.planned_expires_at, preemption.vacated_at + kReservationIntervals * interval);
+  if (had_contact && !machine.downlink.considered_lost())
+    return std::max(preemption.planned_expires_at,
+                    preemption.decided_at + kStopInProgressIntervals * interval);
   return preemption.planned_expires_at;
 }
 
-// Stopped work is mostly lost, and borrowed room comes back by itself as tasks end: taken back by force is
-// only what long tasks would not give back soon, when a whole round has not brought enough.
+// Whether victims may be taken from teams that use more than their guarantees. Most work of a stopped task is
+// lost, and borrowed resources come back by themselves as tasks end. So they are reclaimed only from long
+// tasks, and only after a whole planning round has not freed enough.
 bool Leader::may_reclaim_borrowed(const Job& job) const {
   return within_guarantee(job) && loop().wall() - job.eligible_at > settings_.round_s &&
-         quota_.others_borrow(job.spec.team);
+         quota_.has_other_borrowers(job.spec.team);
 }
 
-// Whether the machine could run a task of the job if it were empty.
+// Whether the machine could run a task of the job if the machine were empty.
 bool Leader::could_run_on(const Machine& machine, const Job& job) const {
   return model::allows(job.spec, {machine.machine_type, machine.zone, machine.preemptible}) &&
          zone_allows(job, machine.zone) && job.spec.request.fits(machine.capacity);
 }
 
-// All in one request: of stops that travel apart one may arrive when the room is taken already.
+// All stop commands go into one request: if they were sent separately, one might arrive after the freed
+// resources are already in use.
 void Leader::stop_victims(const PreemptionCandidate& chosen, const Job& job) {
   auto& machine = *fleet_.find(chosen.machine_id);
-  std::vector<wire::Command> stops;
+  std::vector<wire::Command> stop_commands;
   for (const auto& victim : chosen.victims) {
     auto& assignment = machine.assignments.at(victim);
     preemption_reservations_.add_victim(machine.id, victim, assignment.priority);
-    if (const auto span = gangs_.tracker().span(victim.job); span > 1) {  // whole, or not at all
+    // A gang is stopped as a whole or not at all.
+    if (const auto span = gangs_.tracker().span(victim.job); span > 1) {
       gangs_.tracker().evict({victim.job, victim.index / span}, loop().now());
       continue;
     }
     log_->debug("job {}: {} makes room for it", job.spec.id.value, victim.text());
     ++event_counts_["tasks made room"];
-    stops.push_back(mark_stopping(assignment, grace_period_s(victim.job)));
+    stop_commands.push_back(mark_stopping(assignment, grace_period_s(victim.job)));
   }
-  if (!stops.empty()) send_command(machine, std::move(stops));
+  if (!stop_commands.empty()) send_command(machine, std::move(stop_commands));
   apply_gang_actions();
 }
 
-// A task that is gone may be one that was stopped to make room, or the one that the room was made for.
+// The removed task may be a victim, or the task that the victims were stopped for.
 void Leader::on_assignment_removed(const Machine& machine, const model::Assignment& assignment) {
   const auto& task = assignment.task;
   if (assignment.state == model::AssignmentState::sent) {
     preemption_reservations_.start_lost(task.job, machine.id,
-                                        loop().now() + kLostStartPaces * settings_.control_interval_s);
-    // Lost as its job ended, it needs the room no more.
+                                        loop().now() + kLostStartIntervals * settings_.control_interval_s);
+    // The start was lost because the job ended, so the job no longer needs the resources.
     if (!live_jobs_.contains(task.job)) preemption_reservations_.release(task.job);
   } else {
     preemption_reservations_.start_arrived(task.job, machine.id);
--- a/src/leader/unplaceable_requests.cpp
+++ b/src/leader/unplaceable_requests.cpp
@@ -4,10 +4,12 @@
 
 namespace bankhill::leader {
 
-bool UnplaceableRequests::cover(const queue::Candidate& job) const {
+bool UnplaceableRequests::covers(const queue::Candidate& candidate) const {
   return std::any_of(requests_.begin(), requests_.end(), [&](const Request& request) {
-    return request.resources.fits(job.request) && (request.allows_preemptible || !job.allows_preemptible) &&
-           job.estimated_runtime_s >= request.min_runtime_s && job.priority <= request.max_priority;
+    return request.resources.fits(candidate.request) &&
+           (request.allows_preemptible || !candidate.allows_preemptible) &&
+           candidate.estimated_runtime_s >= request.min_runtime_s &&
+           candidate.priority <= request.max_priority;
   });
 }
 
--- a/src/leader/unplaceable_requests.hpp
+++ b/src/leader/unplaceable_requests.hpp
@@ -1,5 +1,5 @@
-// What found no machine so far while waiting tasks are placed: nothing that needs as much will find one
-// either, and a comparison costs less than another search. Pure.
+// Requests that found no machine in the current placement pass. A job that needs at least as much will find
+// none either, and comparing requests costs less than another search. Pure: no input, output or clocks.
 #pragma once
 
 #include <vector>
@@ -14,15 +14,15 @@
   struct Request {
     wire::Resources resources;
     bool allows_preemptible = false;
-    // Tasks that run for less may still find one: among what is reserved for others until then.
+    // Tasks with a shorter run time than this may still be placed, on a machine reserved for a later start.
     double min_runtime_s = 0;
-    // Tasks that rank above this may still find one: among the room that preemption made.
+    // Tasks with a priority above this may still be placed, in resources freed by preemption.
     wire::Priority max_priority = wire::Priority::production;
   };
 
   void add(const Request& request) { requests_.push_back(request); }
   // Whether a task of the job will find no machine either.
-  bool cover(const queue::Candidate& job) const;
+  bool covers(const queue::Candidate& candidate) const;
 
  private:
   std::vector<Request> requests_;
--- a/src/leader/victim_selector.cpp
+++ b/src/leader/victim_selector.cpp
@@ -9,31 +9,33 @@
 
 namespace {
 
-// Seconds that a task of the job will still run. Services do not end.
+// Time that the task is expected to run on, in seconds. Services do not end by themselves.
 double remaining_s(const model::Job& job, const model::Assignment& assignment, double now) {
   if (job.is_service()) return std::numeric_limits<double>::max();
   return queue::estimated_runtime_s(job) - assignment.running_s(now);
 }
 
-// Its start may still be on its way, and a stop that overtakes it stops nothing.
+// Whether the start command may still be in flight: a stop command that overtakes it has no effect.
 bool is_start_in_flight(const model::Assignment& assignment) {
   return assignment.state == model::AssignmentState::sent && assignment.running_since <= 0;
 }
 
-// Room that is on its way there is meant for another.
+// Whether tasks are already being stopped on the machine: the resources that they free are meant for another
+// job.
 bool is_stopping_tasks(const model::Machine& machine) {
   return std::any_of(machine.assignments.begin(), machine.assignments.end(),
                      [](const auto& entry) { return entry.second.stopping; });
 }
 
-// A large victim that was found last may make the small ones before it needless.
-void spare_unneeded(std::vector<const model::Assignment*>& victims, const wire::Resources& request,
-                    wire::Resources room) {
+// Removes victims that are not needed: a large victim found last may make the small ones before it
+// unnecessary.
+void remove_unneeded_victims(std::vector<const model::Assignment*>& victims, const wire::Resources& request,
+                             wire::Resources free) {
   std::erase_if(victims, [&](const model::Assignment* victim) {
-    auto without = room;
-    without -= victim->request;
-    if (!request.fits(without)) return false;
-    room = without;
+    auto free_without_victim = free;
+    free_without_victim -= victim->request;
+    if (!request.fits(free_without_victim)) return false;
+    free = free_without_victim;
     return true;
   });
 }
@@ -53,17 +55,17 @@
   if (is_stopping_tasks(machine)) return std::nullopt;
   const auto& spec = preemptor.job.spec;
   std::vector<const model::Assignment*> victims;
-  auto room = machine.available();
+  auto free = machine.available();
   for (const auto& [task, assignment] : machine.assignments) {
-    if (spec.request.fits(room)) break;
+    if (spec.request.fits(free)) break;
     const auto victim = jobs_.find(task.job);
     if (victim == jobs_.end() || assignment.team.empty()) continue;
     if (!may_stop(assignment, victim->second, preemptor, now)) continue;
-    room += assignment.request;
+    free += assignment.request;
     victims.push_back(&assignment);
   }
-  if (victims.empty() || !spec.request.fits(room)) return std::nullopt;
-  spare_unneeded(victims, spec.request, room);
+  if (victims.empty() || !spec.request.fits(free)) return std::nullopt;
+  remove_unneeded_victims(victims, spec.request, free);
   PreemptionCandidate candidate{machine.id, {}, {!machine.images.contains(spec.image), 0}};
   for (const auto* victim : victims) {
     candidate.victims.push_back(victim->task);
@@ -75,15 +77,17 @@
 bool VictimSelector::may_stop(const model::Assignment& assignment, const model::Job& victim,
                               const Preemptor& preemptor, double now) const {
   if (is_start_in_flight(assignment)) return false;
-  if (checkpoint_grace_s(victim.spec) > preemptor.longest_stop_s) return false;
-  // Placed before all batches for its long wait and stopped for one of them, it would be placed first again.
+  if (checkpoint_grace_s(victim.spec) > preemptor.max_grace_period_s) return false;
+  // The task was started ahead of all other batch tasks because its job had waited long. If it were stopped
+  // for one of them, it would be started ahead of them again.
   if (assignment.started_for_long_wait && !preemptor.job.is_service()) return false;
   if (dependencies_.effective_priority(victim.spec.id, victim.spec.priority) < preemptor.priority)
     return true;
   if (!preemptor.reclaims_borrowed || assignment.team == preemptor.job.spec.team) return false;
-  // A team's services count towards its guarantee first: it is its batches that borrow. Stopped for that,
-  // services were down all day while their team's batches went on (lakaskalk-grown).
-  if (!quota_.borrows(assignment.team, assignment.is_service)) return false;
+  // A team's services count towards its guarantee first, so only its batch tasks borrow. When services were
+  // stopped to reclaim borrowed resources, they were down all day while their team's batch tasks ran on
+  // (lakaskalk-grown).
+  if (!quota_.is_borrowing(assignment.team, assignment.is_service)) return false;
   return remaining_s(victim, assignment, now) > long_task_s_;
 }
 
--- a/tests/preemption_limits_test.cpp
+++ b/tests/preemption_limits_test.cpp
@@ -1,8 +1,9 @@
-// How long a job waits for room that was made for it.
+// Tests that a job waits only a limited time for resources that are being freed for it by preemption.
 //
-// What happened: each look at a preemption put its end off by a control interval, so that a job waited for a
-// machine that does not hear its stops until the machine was returned, two leases and more, beside others
-// that could have made room. Why: the limit was counted from the look, not from the decision.
+// Guards against this failure: each review of a preemption extended its deadline by a control interval,
+// because the deadline was counted from the review instead of the decision. If the machine's downlink was
+// lost, the job waited until the machine was terminated, for two leases and more, although other machines
+// could have been freed.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,13 +14,15 @@
 namespace bankhill::sim {
 namespace {
 
-constexpr double kUrgentBeginsWithinS = 30;  // as over links without delays (Seeds/SlowLinks)
+// As over links without delays (Seeds/SlowLinks).
+constexpr double kMaxUrgentStartS = 30;
 
-class DeafToStops : public testing::TestWithParam<int> {};
-INSTANTIATE_TEST_SUITE_P(Controllers, DeafToStops, testing::Values(3, 5));
+class VictimsWithLostDownlink : public testing::TestWithParam<int> {};
+INSTANTIATE_TEST_SUITE_P(Controllers, VictimsWithLostDownlink, testing::Values(3, 5));
 
-// One of two machines hears nothing any more; two urgent jobs each need one of them whole.
-TEST_P(DeafToStops, HoldNoJobUpForLong) {
+// One of two machines loses its downlink, so stop commands do not reach it. Two urgent jobs need a whole
+// machine each.
+TEST_P(VictimsWithLostDownlink, DoNotDelayUrgentJobs) {
   SimulatedCluster cluster(800 + static_cast<std::uint64_t>(GetParam()), GetParam());
   cluster.cloud().offers_large = false;
   cluster.cloud().machine_limit = 2;
@@ -35,7 +38,7 @@
     job.spec.priority = wire::Priority::high;
     urgent.push_back(cluster.submit(job));
   }
-  EXPECT_TRUE(run_within(cluster, kUrgentBeginsWithinS,
+  EXPECT_TRUE(run_within(cluster, kMaxUrgentStartS,
                          [&] {
                            return std::all_of(urgent.begin(), urgent.end(), [&](const auto& id) {
                              return cluster.jobs().at(id).begun > 0;
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -1,4 +1,4 @@
-// Which tasks are stopped so that another can start, and what found no machine, without a leader.
+// Tests of VictimSelector and UnplaceableRequests, without a leader.
 #include <gtest/gtest.h>
 
 #include "leader/unplaceable_requests.hpp"
@@ -16,7 +16,7 @@
 constexpr double kLongTaskS = 100;
 const VictimSelector::MachineFilter kAnyMachine = [](const model::Machine&) { return true; };
 
-// A fleet of machines of eight cores. Red may hold 4 cores by its guarantee, blue 16.
+// A fleet of machines with eight cores each. Team red is guaranteed 4 cores, team blue 16.
 class PreemptionTest : public testing::Test {
  protected:
   PreemptionTest() : quota_({{"red", {4, 0, 0}, {99, 0, 0}}, {"blue", {16, 0, 0}, {99, 0, 0}}}) {
@@ -34,7 +34,7 @@
     return machine;
   }
 
-  // A task of a job of its own that has run for `ran_s` of `runtime_s`.
+  // Adds a task of a new job that has run for `ran_s` of `runtime_s` seconds.
   model::Assignment& add_task(model::Machine& machine, const std::string& team, double cores,
                               Priority priority, double ran_s, double runtime_s = 500, bool service = false) {
     const JobId id{team + std::to_string(jobs_.size())};
@@ -56,7 +56,7 @@
     return machine.assignments.emplace(assignment.task, assignment).first->second;
   }
 
-  // The job ids of the tasks that would be stopped on the machine, in their order.
+  // The job ids of the victims on the machine, in the order in which they were selected.
   std::vector<std::string> victims(const model::Machine& machine, Priority priority,
                                    bool reclaims_borrowed) const {
     std::vector<std::string> names;
@@ -66,7 +66,7 @@
     return names;
   }
 
-  std::string chosen(Priority priority, const VictimSelector::MachineFilter& allowed = kAnyMachine) {
+  std::string choose_machine(Priority priority, const VictimSelector::MachineFilter& allowed = kAnyMachine) {
     const auto candidate =
         selector_.choose(fleet_, fleet_.size(), {waiting_, priority, false}, allowed, kNow);
     return candidate ? candidate->machine_id.value : "";
@@ -82,7 +82,7 @@
   VictimSelector selector_{jobs_, dependencies_, quota_, kLongTaskS};
 };
 
-TEST_F(PreemptionTest, StopsLowerPrioritiesOnlyAndNoMoreThanNeeded) {
+TEST_F(PreemptionTest, StopsOnlyLowerPrioritiesAndNoMoreThanNeeded) {
   auto& machine = add_machine("m");
   add_task(machine, "red", 2, Priority::best_effort, 10);  // red0
   add_task(machine, "red", 2, Priority::high, 10);         // red1
@@ -93,7 +93,7 @@
   EXPECT_EQ(victims(machine, Priority::best_effort, false), Names{});
 }
 
-TEST_F(PreemptionTest, StopsNothingWhereThatMakesTooLittleRoomOrNoneIsNeeded) {
+TEST_F(PreemptionTest, SelectsNoVictimsIfTheyFreeTooLittleOrEnoughIsFree) {
   auto& full = add_machine("full");
   add_task(full, "red", 3, Priority::best_effort, 10);
   add_task(full, "red", 5, Priority::normal, 10);
@@ -103,7 +103,7 @@
   EXPECT_EQ(victims(roomy, Priority::normal, false), Names{});
 }
 
-TEST_F(PreemptionTest, LeavesAMachineAloneWhereTasksAreBeingStopped) {
+TEST_F(PreemptionTest, SkipsMachinesWhereTasksAreBeingStopped) {
   auto& machine = add_machine("m");
   add_task(machine, "red", 4, Priority::best_effort, 10);
   auto& second = add_task(machine, "red", 4, Priority::best_effort, 10);
@@ -112,7 +112,7 @@
   EXPECT_EQ(victims(machine, Priority::normal, false), Names{});
 }
 
-TEST_F(PreemptionTest, StopsNoTaskOfAnUnknownJob) {
+TEST_F(PreemptionTest, NeverStopsTasksOfUnknownJobs) {
   auto& machine = add_machine("m");
   add_task(machine, "", 4, Priority::best_effort, 10);
   add_task(machine, "red", 4, Priority::best_effort, 10);
@@ -120,38 +120,38 @@
   EXPECT_EQ(victims(machine, Priority::production, true), Names{});
 }
 
-TEST_F(PreemptionTest, GoesByThePriorityOfWhatDependsOnAJob) {
+TEST_F(PreemptionTest, UsesThePriorityInheritedFromDependentJobs) {
   auto& machine = add_machine("m");
   add_task(machine, "red", 8, Priority::best_effort, 10);
   EXPECT_EQ(victims(machine, Priority::normal, false), Names{"red0"});
-  model::DependencyInfo fact;
-  fact.state = model::DependencyInfo::State::accepted;
-  fact.priority = Priority::high;
-  dependencies_.add(JobId{"dependent"}, fact, {JobId{"red0"}}, false, [](const JobId&) {
-    model::DependencyInfo needed;
-    needed.state = model::DependencyInfo::State::accepted;
-    return needed;
+  model::DependencyInfo info;
+  info.state = model::DependencyInfo::State::accepted;
+  info.priority = Priority::high;
+  dependencies_.add(JobId{"dependent"}, info, {JobId{"red0"}}, false, [](const JobId&) {
+    model::DependencyInfo dependency;
+    dependency.state = model::DependencyInfo::State::accepted;
+    return dependency;
   });
   EXPECT_EQ(victims(machine, Priority::normal, false), Names{});
   EXPECT_EQ(victims(machine, Priority::production, false), Names{"red0"});
 }
 
-TEST_F(PreemptionTest, ReclaimsWhatLongTasksOfOtherTeamsBorrow) {
+TEST_F(PreemptionTest, ReclaimsBorrowedResourcesOnlyFromLongTasksOfOtherTeams) {
   auto& machine = add_machine("m");
-  add_task(machine, "blue", 2, Priority::normal, 10);                          // blue0
-  add_task(machine, "red", 3, Priority::normal, 10, 10 + kLongTaskS);          // red1: ends soon
+  add_task(machine, "blue", 2, Priority::normal, 10);                  // blue0
+  add_task(machine, "red", 3, Priority::normal, 10, 10 + kLongTaskS);  // red1: ends too soon to be reclaimed
   add_task(machine, "red", 3, Priority::production, 10, 10 + kLongTaskS + 1);  // red2
   EXPECT_EQ(victims(machine, Priority::best_effort, false), Names{});
-  // Three cores are too few for four.
+  // The only possible victim holds three cores; four are requested.
   EXPECT_EQ(victims(machine, Priority::best_effort, true), Names{});
   waiting_.spec.request.cores = 3;
   EXPECT_EQ(victims(machine, Priority::best_effort, true), Names{"red2"});
-  // Its own team's tasks are none that it could reclaim.
+  // Tasks of the job's own team cannot be reclaimed.
   waiting_.spec.team = "red";
   EXPECT_EQ(victims(machine, Priority::best_effort, true), Names{});
 }
 
-TEST_F(PreemptionTest, ReclaimsNothingOfATeamWithinItsGuarantee) {
+TEST_F(PreemptionTest, ReclaimsNothingFromTeamsWithinTheirGuarantees) {
   auto& machine = add_machine("m");
   add_task(machine, "red", 4, Priority::normal, 10);
   auto& other = add_machine("other");
@@ -161,7 +161,7 @@
   EXPECT_EQ(victims(machine, Priority::normal, true), Names{"red0"});
 }
 
-// Five cores of red are in use and four guaranteed: its batch borrows, its service does not.
+// Team red uses five cores and is guaranteed four: its batch task borrows, its service does not.
 TEST_F(PreemptionTest, CountsServicesTowardsTheGuaranteeFirst) {
   auto& machine = add_machine("m");
   add_task(machine, "red", 4, Priority::normal, 10, 500, true);  // red0
@@ -171,54 +171,55 @@
   waiting_.spec.request.cores = 8;
   EXPECT_EQ(victims(machine, Priority::normal, true), Names{});
   EXPECT_EQ(victims(other, Priority::normal, true), Names{"red1"});
-  // Once its services alone hold more than its guarantee they can be stopped too: they never end.
+  // Once the team's services alone exceed its guarantee they can be stopped too, since they never end.
   add_task(add_machine("third"), "red", 1, Priority::normal, 10, 500, true);
   EXPECT_EQ(victims(machine, Priority::normal, true), Names{"red0"});
 }
 
-TEST_F(PreemptionTest, ChoosesTheLeastLostProgress) {
+TEST_F(PreemptionTest, ChoosesTheMachineWithTheLeastLostProgress) {
   add_task(add_machine("a"), "red", 8, Priority::best_effort, 30);
   add_task(add_machine("b"), "red", 8, Priority::best_effort, 20);
-  auto& two = add_machine("c");
-  add_task(two, "red", 2, Priority::best_effort, 20);
-  add_task(two, "red", 6, Priority::best_effort, 30);
-  EXPECT_EQ(chosen(Priority::normal), "b");
-  const auto candidate = selector_.victims_on(two, {waiting_, Priority::normal, false}, kNow);
+  auto& with_two_tasks = add_machine("c");
+  add_task(with_two_tasks, "red", 2, Priority::best_effort, 20);
+  add_task(with_two_tasks, "red", 6, Priority::best_effort, 30);
+  EXPECT_EQ(choose_machine(Priority::normal), "b");
+  const auto candidate = selector_.victims_on(with_two_tasks, {waiting_, Priority::normal, false}, kNow);
   ASSERT_TRUE(candidate);
   EXPECT_EQ(candidate->victims.size(), 1U);
   EXPECT_EQ(candidate->cost, (PreemptionCost{false, 6 * 30}));
   waiting_.spec.request.cores = 8;
-  const auto both = selector_.victims_on(two, {waiting_, Priority::normal, false}, kNow);
-  ASSERT_TRUE(both);
-  EXPECT_EQ(both->victims.size(), 2U);
-  EXPECT_EQ(both->cost, (PreemptionCost{false, 2 * 20 + 6 * 30}));
+  const auto both_victims = selector_.victims_on(with_two_tasks, {waiting_, Priority::normal, false}, kNow);
+  ASSERT_TRUE(both_victims);
+  EXPECT_EQ(both_victims->victims.size(), 2U);
+  EXPECT_EQ(both_victims->cost, (PreemptionCost{false, 2 * 20 + 6 * 30}));
 }
 
-TEST_F(PreemptionTest, PrefersAMachineThatHasTheImage) {
+TEST_F(PreemptionTest, PrefersMachinesWithTheImage) {
   auto& without = add_machine("a");
   add_task(without, "red", 8, Priority::best_effort, 1);
   without.images.clear();
-  EXPECT_EQ(chosen(Priority::normal), "a");
+  EXPECT_EQ(choose_machine(Priority::normal), "a");
   add_task(add_machine("b"), "red", 8, Priority::best_effort, 100);
-  EXPECT_EQ(chosen(Priority::normal), "b");
+  EXPECT_EQ(choose_machine(Priority::normal), "b");
 }
 
-TEST_F(PreemptionTest, LeavesOutMachinesThatTakeNoTasksOrAreNotAllowed) {
+TEST_F(PreemptionTest, SkipsMachinesThatTakeNoTasksOrAreFilteredOut) {
   auto& machine = add_machine("a");
   add_task(machine, "red", 8, Priority::best_effort, 10);
   add_task(add_machine("b"), "red", 8, Priority::best_effort, 20);
-  EXPECT_EQ(chosen(Priority::normal, [](const auto& item) { return item.id != MachineId{"a"}; }), "b");
+  EXPECT_EQ(choose_machine(Priority::normal, [](const auto& item) { return item.id != MachineId{"a"}; }),
+            "b");
   machine.draining = true;
-  EXPECT_EQ(chosen(Priority::normal), "b");
+  EXPECT_EQ(choose_machine(Priority::normal), "b");
   machine.draining = false;
   machine.overdue = true;
-  EXPECT_EQ(chosen(Priority::normal), "b");
-  EXPECT_EQ(chosen(Priority::normal, [](const auto&) { return false; }), "");
+  EXPECT_EQ(choose_machine(Priority::normal), "b");
+  EXPECT_EQ(choose_machine(Priority::normal, [](const auto&) { return false; }), "");
 }
 
-// A task found first is spared when a larger one that must go anyway makes room enough: tasks were lost for
-// nothing whenever small ones stood before a large one in the order of their names.
-TEST_F(PreemptionTest, SparesWhatALargerVictimMakesNeedless) {
+// A victim found first is spared if a larger one, needed in any case, frees enough. Otherwise tasks were lost
+// needlessly whenever small ones preceded a large one in name order.
+TEST_F(PreemptionTest, SparesVictimsThatALargerOneMakesUnnecessary) {
   auto& machine = add_machine("m");
   add_task(machine, "red", 1, Priority::best_effort, 10);  // red0
   add_task(machine, "red", 2, Priority::best_effort, 10);  // red1
@@ -230,9 +231,10 @@
   EXPECT_EQ(victims(machine, Priority::normal, false), (Names{"red0", "red1", "red2"}));
 }
 
-// A stop that overtakes the start is ignored, and the task runs where its room was promised to another
-// (bankhill_wasted_work_days preemption 36 1 --latest 1.5: start at 175.15 s after a stop sent at 174.13 s).
-TEST_F(PreemptionTest, StopsNoTaskWhoseStartIsOnItsWay) {
+// A stop command that overtakes the start command is ignored, and the task then uses the resources promised
+// to another job (bankhill_wasted_work_days preemption 36 1 --latest 1.5: start at 175.15 s after a stop sent
+// at 174.13 s).
+TEST_F(PreemptionTest, NeverStopsTasksWhoseStartIsInFlight) {
   auto& machine = add_machine("m");
   auto& task = add_task(machine, "red", 8, Priority::best_effort, 10);
   task.running_since = 0;
@@ -241,8 +243,9 @@
   EXPECT_EQ(victims(machine, Priority::production, true), Names{"red0"});
 }
 
-// It was placed before all other batches: stopped for one of them it would be placed first again, and so on.
-TEST_F(PreemptionTest, StopsATaskThatBeganBeforeOthersOnlyForServices) {
+// The task was started ahead of all other batch tasks. If it were stopped for one of them, it would be
+// started ahead of them again, without end.
+TEST_F(PreemptionTest, StopsTasksStartedForLongWaitOnlyForServices) {
   auto& machine = add_machine("m");
   add_task(machine, "red", 8, Priority::best_effort, 10).started_for_long_wait = true;
   EXPECT_EQ(victims(machine, Priority::production, true), Names{});
@@ -250,23 +253,23 @@
   EXPECT_EQ(victims(machine, Priority::normal, false), Names{"red0"});
 }
 
-TEST_F(PreemptionTest, StopsOnlyWhatHasStoppedSoonEnough) {
+TEST_F(PreemptionTest, StopsOnlyTasksWithinTheGracePeriodLimit) {
   auto& machine = add_machine("m");
   add_task(machine, "red", 8, Priority::best_effort, 10);
   auto& spec = jobs_.at(JobId{"red0"}).spec;
   spec.checkpoint_duration_s = 30;
   Preemptor preemptor{waiting_, Priority::normal, false};
-  preemptor.longest_stop_s = 10;
-  // It saves nothing when it is stopped.
+  preemptor.max_grace_period_s = 10;
+  // Without a checkpoint interval the task saves no checkpoint when it is stopped.
   EXPECT_TRUE(selector_.victims_on(machine, preemptor, kNow));
   spec.checkpoint_interval_s = 60;
   EXPECT_FALSE(selector_.victims_on(machine, preemptor, kNow));
-  preemptor.longest_stop_s = 30;
+  preemptor.max_grace_period_s = 30;
   EXPECT_TRUE(selector_.victims_on(machine, preemptor, kNow));
 }
 
-// A large fleet is looked through a part at a time.
-TEST_F(PreemptionTest, GoesRoundTheFleet) {
+// A large fleet is searched a part at a time, in round-robin order.
+TEST_F(PreemptionTest, SearchesTheFleetInRoundRobinOrder) {
   for (const auto* name : {"a", "b", "c"}) add_task(add_machine(name), "red", 8, Priority::best_effort, 10);
   const auto next = [&] {
     return selector_.choose(fleet_, 2, {waiting_, Priority::normal, false}, kAnyMachine, kNow)
@@ -285,30 +288,30 @@
   return candidate;
 }
 
-TEST(UnplaceableRequestsTest, CoversWhatNeedsAsMuchAndRunsAsLong) {
+TEST(UnplaceableRequestsTest, CoversRequestsAtLeastAsLargeAndAsLong) {
   UnplaceableRequests requests;
-  EXPECT_FALSE(requests.cover(waiting_job(64, false, 1e6)));
+  EXPECT_FALSE(requests.covers(waiting_job(64, false, 1e6)));
   requests.add({{8, 0, 1}, false, 60});
-  EXPECT_TRUE(requests.cover(waiting_job(8, false, 60)));
-  EXPECT_FALSE(requests.cover(waiting_job(7, false, 60)));
-  EXPECT_FALSE(requests.cover(waiting_job(8, false, 59)));
-  // Preemptible machines were not looked at for it.
-  EXPECT_FALSE(requests.cover(waiting_job(8, true, 60)));
+  EXPECT_TRUE(requests.covers(waiting_job(8, false, 60)));
+  EXPECT_FALSE(requests.covers(waiting_job(7, false, 60)));
+  EXPECT_FALSE(requests.covers(waiting_job(8, false, 59)));
+  // The earlier request was not tried on preemptible machines.
+  EXPECT_FALSE(requests.covers(waiting_job(8, true, 60)));
   requests.add({{12, 0, 1}, true, 0});
-  EXPECT_TRUE(requests.cover(waiting_job(12, true, 1)));
-  EXPECT_TRUE(requests.cover(waiting_job(12, false, 1)));
-  EXPECT_FALSE(requests.cover(waiting_job(11, true, 1)));
+  EXPECT_TRUE(requests.covers(waiting_job(12, true, 1)));
+  EXPECT_TRUE(requests.covers(waiting_job(12, false, 1)));
+  EXPECT_FALSE(requests.covers(waiting_job(11, true, 1)));
 }
 
-// Room that was made by preemption may be used by what ranks above.
-TEST(UnplaceableRequestsTest, CoversNoHigherPriorityWhereRoomIsReserved) {
+// Tasks of a higher priority may use resources freed by preemption.
+TEST(UnplaceableRequestsTest, DoesNotCoverHigherPrioritiesWhereResourcesAreReserved) {
   UnplaceableRequests requests;
   requests.add({{8, 0, 1}, true, 0, Priority::normal});
   auto job = waiting_job(8, false, 60);
   job.priority = Priority::normal;
-  EXPECT_TRUE(requests.cover(job));
+  EXPECT_TRUE(requests.covers(job));
   job.priority = Priority::high;
-  EXPECT_FALSE(requests.cover(job));
+  EXPECT_FALSE(requests.covers(job));
 }
 
 }  // namespace
