--- a/src/leader/dependencies.cpp
+++ b/src/leader/dependencies.cpp
@@ -60,7 +60,9 @@
   }
   // The dependency keys are written together with the job and deleted after it has ended. If one is missing,
   // the job has ended and the change that records this has not arrived yet.
-  if (incomplete) log_->warn("job {}: not all that it waits for is stored", id.value);
+  if (incomplete)
+    log_->warn("job {}: some of its dependency keys are missing or unreadable, it will not be released",
+               id.value);
   job.dependencies_met = false;
   dependencies_.add(id, dependency_info(job), job.spec.depends_on, incomplete,
                     [this](const wire::JobId& dependency) { return dependency_info_of(dependency); });
@@ -84,7 +86,7 @@
   job.eligible_at = std::max(job.accepted_at, ended_at > 0 || !is_leader_ ? ended_at : loop().wall());
   job.eligible_revision = std::max(job.revision, dependencies_.ready_revision(job.spec.id));
   if (!is_leader_) return;
-  log_->debug("job {}: all that it waited for is done, {:.1f} s after its acceptance", job.spec.id.value,
+  log_->debug("job {}: released, all dependencies done {:.1f} s after its acceptance", job.spec.id.value,
               loop().wall() - job.accepted_at);
   ++event_counts_["jobs released"];
   update_queue_membership(job);
@@ -99,8 +101,8 @@
   job.dependency_cancelled = true;
   remove_live_job(job);
   if (!is_leader_) return;
-  log_->debug("job {}: cancelled with one that it waits for", job.spec.id.value);
-  ++event_counts_["waiting jobs cancelled"];
+  log_->debug("job {}: cancelled because a job that it depends on is cancelled", job.spec.id.value);
+  ++event_counts_["dependent jobs cancelled"];
   cancelled_dependents_.push_back(job.spec.id);
 }
 
@@ -134,7 +136,7 @@
     fetcher_.tell(state::FetchRequest{
         wire::job_key(id), guard([this, id](const std::optional<state::Entry>& entry) {
           if (!entry) {
-            log_->warn("job {}: is waited for and has no record", id.value);
+            log_->warn("job {}: other jobs depend on it, but it has no record", id.value);
             return dependencies_.update(id, model::missing_dependency());
           }
           const auto record = ports_.store.parsed(wire::job_key(id), entry->revision,
--- a/src/leader/gangs.cpp
+++ b/src/leader/gangs.cpp
@@ -29,7 +29,7 @@
       max_image_pull_s = std::max(max_image_pull_s, job.spec.image_size_gb / type.image_pull_gb_per_s);
   gangs_.follow(job.spec, span, max_image_pull_s);
   if (const auto unusable_tasks = gangs_.tracker().unusable_tasks(job.spec.id); unusable_tasks > 0)
-    log_->warn("job {}: {} of its {} tasks make no whole replica of {} machines and stay queued",
+    log_->warn("job {}: {} of its {} tasks do not fill a replica of {} machines and stay queued",
                job.spec.id.value, unusable_tasks, job.spec.task_count, span);
 }
 
@@ -77,7 +77,7 @@
     const auto assignment = machine->assignments.find({action.replica.first, action.task});
     if (assignment == machine->assignments.end()) continue;
     commands[action.machine_id].push_back(mark_stopping(assignment->second, 0));
-    ++event_counts_["members of replicas stopped"];
+    ++event_counts_["gang tasks stopped"];
   }
   for (auto& [machine_id, machine_commands] : commands)
     send_command(*fleet_.find(machine_id), std::move(machine_commands));
@@ -134,7 +134,7 @@
           {CommandType::start, task_id, machine.assignments.at(task_id).attempt, 0});
       ++placed_tasks;
     }
-    ++event_counts_["replicas started"];
+    ++event_counts_["gangs started"];
   }
   return placed_tasks;
 }
@@ -147,7 +147,7 @@
     const auto job = live_jobs_.find(move.id.first);
     if (job == live_jobs_.end() || !gangs_.move(fleet_, move, gang_constraints(*job->second), loop().now()))
       continue;
-    ++event_counts_["replicas moved"];
+    ++event_counts_["gangs moved"];
   }
   apply_gang_actions();
 }
--- a/src/leader/placement.cpp
+++ b/src/leader/placement.cpp
@@ -243,11 +243,11 @@
   if (!queue_.update_overload(loop().now(), wanted, lacking)) return;
   if (queue_.is_overloaded())
     log_->warn(
-        "overload: {:.0f} of {:.0f} cores wanted cannot be had; teams and classes take turns, what is "
-        "nearest to its end first",
+        "overload: {:.0f} of {:.0f} requested cores are unavailable; fair sharing between teams and classes "
+        "replaces the order by slack, jobs closest to completion first",
         lacking, wanted);
   else
-    log_->info("overload: over, work goes by slack again");
+    log_->info("overload: ended, jobs are ordered by slack again");
 }
 
 // One placement pass (the paper's Algorithm 4): goes through the waiting jobs, best first, and starts their
@@ -380,12 +380,15 @@
 void Leader::log_start(const Machine& machine, const wire::TaskId& task) const {
   const double term_age_s = loop().now() - term_began_at_;
   if (machine.answered_at)
-    log_->debug("machine {}: {} is assigned in agent epoch {}, answered {:.1f} s ago, {:.1f} s into the term",
-                machine.id.value, task.text(), machine.agent_epoch.value, loop().now() - *machine.answered_at,
-                term_age_s);
+    log_->debug(
+        "machine {}: task {} assigned in agent epoch {}, last heartbeat answered {:.1f} s ago, {:.1f} s into "
+        "the term",
+        machine.id.value, task.text(), machine.agent_epoch.value, loop().now() - *machine.answered_at,
+        term_age_s);
   else
-    log_->debug("machine {}: {} is assigned in agent epoch {}, never answered, {:.1f} s into the term",
-                machine.id.value, task.text(), machine.agent_epoch.value, term_age_s);
+    log_->debug(
+        "machine {}: task {} assigned in agent epoch {}, no heartbeat answered yet, {:.1f} s into the term",
+        machine.id.value, task.text(), machine.agent_epoch.value, term_age_s);
 }
 
 void Leader::start_task(Machine& machine, Job& job, std::uint32_t index, PlacementPass& pass) {
@@ -403,8 +406,8 @@
 }
 
 void Leader::record_early_start(const Job& job) {
-  ++event_counts_["large jobs begun before others"];
-  log_->debug("job {}: begins before others, {:.0f} s after its waiting began", job.spec.id.value,
+  ++event_counts_["large jobs started ahead of others"];
+  log_->debug("job {}: first task started ahead of other jobs after {:.0f} s of waiting", job.spec.id.value,
               loop().wall() - job.eligible_at);
 }
 
@@ -441,9 +444,10 @@
   });
   if (best == nullptr) return false;
   backfill_reservations_.reserve(job.spec.id, best->id, best_fit_at);
-  ++event_counts_["machines kept for large tasks"];
-  log_->debug("job {}: waits for {:.0f} s, machine {} drains for it and should have room in {:.0f} s",
-              job.spec.id.value, loop().wall() - job.eligible_at, best->id.value, best_fit_at - now);
+  ++event_counts_["machines reserved for large tasks"];
+  log_->debug(
+      "job {}: waiting for {:.0f} s, machine {} is reserved for it and should have free capacity in {:.0f} s",
+      job.spec.id.value, loop().wall() - job.eligible_at, best->id.value, best_fit_at - now);
   return true;
 }
 
--- a/src/leader/preemption_execution.cpp
+++ b/src/leader/preemption_execution.cpp
@@ -64,10 +64,10 @@
   const auto number = preemption_reservations_.reserve(
       job.spec.id, chosen->machine_id, preemptor.priority, job.spec.request, now,
       now + max_grace_period_s(*chosen) + intervals * settings_.control_interval_s);
-  log_->debug("preemption {}: makes room on {} for job {} ({}{}{}), {} tasks are stopped", number,
+  log_->debug("preemption {}: freeing resources on machine {} for job {} ({}{}{}), stopping {} tasks", number,
               chosen->machine_id.value, job.spec.id.value, name_of(preemptor.priority),
-              job.is_service() ? ", a service" : "", preemptor.reclaims_borrowed ? ", reclaims" : "",
-              chosen->victims.size());
+              job.is_service() ? ", service" : "",
+              preemptor.reclaims_borrowed ? ", reclaiming borrowed resources" : "", chosen->victims.size());
   stop_victims(*chosen, job);
   return true;
 }
@@ -181,8 +181,8 @@
       gangs_.tracker().evict({victim.job, victim.index / span}, loop().now());
       continue;
     }
-    log_->debug("job {}: {} makes room for it", job.spec.id.value, victim.text());
-    ++event_counts_["tasks made room"];
+    log_->debug("job {}: preempting task {} for it", job.spec.id.value, victim.text());
+    ++event_counts_["tasks preempted"];
     stop_commands.push_back(mark_stopping(assignment, grace_period_s(victim.job)));
   }
   if (!stop_commands.empty()) send_command(machine, std::move(stop_commands));
@@ -201,14 +201,15 @@
     preemption_reservations_.start_arrived(task.job, machine.id);
   }
   if (const auto number = preemption_reservations_.victim_gone(machine.id, task, loop().now()); number > 0)
-    log_->debug("preemption {}: {} is gone from {}", number, task.text(), machine.id.value);
+    log_->debug("preemption {}: victim {} has ended on machine {}", number, task.text(), machine.id.value);
 }
 
 void Leader::log_ended_preemptions() {
   for (const auto& ended : preemption_reservations_.take_ended()) {
     ++event_counts_[std::string("preemptions ended: ") + text(ended.reason)];
-    log_->debug("preemption {}: for job {} on {} ended: {}, {} tasks not gone", ended.number, ended.job.value,
-                ended.machine_id.value, text(ended.reason), ended.victims_left);
+    log_->debug("preemption {}: for job {} on machine {} ended: {}, {} victims not confirmed as ended",
+                ended.number, ended.job.value, ended.machine_id.value, text(ended.reason),
+                ended.victims_left);
   }
 }
 
