--- a/src/leader/placement.cpp
+++ b/src/leader/placement.cpp
@@ -368,7 +368,8 @@
         {job.spec.request, job.spec.allows_preemptible,
          search.rejected_as_reserved ? estimated_runtime_s(job) : 0,
          search.rejected_as_reserved ? effective_priority(job) : wire::Priority::production});
-  // Applies even if the whole fleet has less free capacity than the task needs, as in any full fleet.
+  // A machine may be reserved even if the whole fleet has less free capacity than the task needs, as in any
+  // full fleet.
   if (queue_.is_overdue(job, loop().wall()) && reserve_for_backfill(job)) job.reason = kDrainingReason;
   if (job.faulty || pass.victim_searches_left == 0) return;
   --pass.victim_searches_left;
--- a/src/leader/preemption_execution.cpp
+++ b/src/leader/preemption_execution.cpp
@@ -115,8 +115,8 @@
   return usable && preemption_reservations_.machines().at(*machine_id).all_victims_gone() ? machine : nullptr;
 }
 
-// Ends preemptions whose resources can no longer be used, and opens those to other jobs that their own job
-// has waited for too long. Only a few are in progress at a time.
+// Ends preemptions whose resources can no longer be used. Once a job has waited too long for a preemption,
+// the resources are opened to other jobs. Only a few preemptions are in progress at a time.
 void Leader::review_preemptions() {
   std::vector<std::pair<wire::MachineId, queue::PreemptionEnd>> to_end;
   std::vector<wire::MachineId> to_open;
