--- a/src/leader/heartbeats.cpp
+++ b/src/leader/heartbeats.cpp
@@ -1,4 +1,4 @@
-// Reports of workers, and the orders that answer them.
+// Heartbeats of agents, and the commands in the responses to them.
 #include <algorithm>
 #include <utility>
 
@@ -19,37 +19,42 @@
 using wire::TaskState;
 
 namespace {
-// Failures before a machine or a job counts as the faulty one.
-constexpr std::uint32_t kMachineErrors = 3;
-constexpr std::size_t kMachineErrorJobs = 2;
-constexpr std::size_t kJobErrorMachines = 3;
-const std::string kUnhealthy = "its tasks fail";
-constexpr double kFirstBackoff = 2;  // in control intervals
-constexpr double kLastBackoff = 20;
-// Exited attempts that wait to be forgotten with the next orders: alone they would cost a heartbeat each.
-constexpr std::size_t kForgetAlone = 64;
-constexpr double kRegularReport =
-    0.7;  // of the heartbeat interval: after this it is not a change that is reported
-constexpr std::size_t kMaxOrders = 400;  // keeps an answer below 64 KiB
-
-bool runs(const wire::TaskStatus& task_status) { return task_status.state != TaskState::exited; }
-
-// Invariant 34: an answer extends the lease of all that the heartbeat lists, so it stops what is over,
-// whatever else is not believed of the heartbeat: the next answer may never arrive. It names the attempt: one
-// that is no longer there is not harmed.
-std::vector<Command> stops_for(const wire::Heartbeat& heartbeat, const std::map<wire::JobId, Job>& jobs) {
+// Thresholds beyond which a machine, or a job, counts as faulty.
+constexpr std::uint32_t kMachineErrorThreshold = 3;
+constexpr std::size_t kMachineErrorJobThreshold = 2;
+constexpr std::size_t kJobErrorMachineThreshold = 3;
+const std::string kTasksFailReason = "its tasks fail";
+// Pause after the n-th failure in a row: n times the step, up to the maximum, in control intervals.
+constexpr double kBackoffStepIntervals = 2;
+constexpr double kMaxBackoffIntervals = 20;
+// Minimum number of forget commands that are sent in a response of their own. Fewer wait for other commands
+// or the next regular heartbeat, because an agent that executes forget commands sends another heartbeat.
+constexpr std::size_t kMinForgetBatch = 64;
+// A heartbeat that arrives later than this share of the heartbeat interval after the previous one is a
+// regular one; an earlier one reports a change.
+constexpr double kRegularHeartbeatShare = 0.7;
+// Maximum number of commands in a response, which keeps it below 64 KiB.
+constexpr std::size_t kMaxCommands = 400;
+
+bool is_active(const wire::TaskStatus& task_status) { return task_status.state != TaskState::exited; }
+
+// Invariant 34: a response extends the lease of all tasks that the heartbeat lists, so it stops those of
+// ended jobs, even if the rest of the heartbeat is not trusted: the next response may never arrive. Each
+// command names the attempt, so a newer attempt of the task is not affected.
+std::vector<Command> stop_commands_for(const wire::Heartbeat& heartbeat,
+                                       const std::map<wire::JobId, Job>& jobs) {
   std::vector<Command> stops;
   for (const auto& task_status : heartbeat.tasks) {
     const auto job = jobs.find(task_status.task.job);
-    const bool over = job == jobs.end() || job->second.has_ended();
-    if (over && runs(task_status) && stops.size() < kMaxOrders)
+    const bool job_ended = job == jobs.end() || job->second.has_ended();
+    if (job_ended && is_active(task_status) && stops.size() < kMaxCommands)
       stops.push_back({CommandType::stop, task_status.task, task_status.attempt, 0});
   }
   return stops;
 }
 }  // namespace
 
-// Everything that lengthens a worker's lease goes through here (invariant 34).
+// The only place that creates responses that extend an agent's lease (invariant 34).
 wire::HeartbeatResponse Leader::accepted_response(std::vector<Command> commands) const {
   if (!is_active_leader()) return {};
   return {0, wire::HeartbeatResult::accepted, wire::FencingToken{term_}, std::move(commands)};
@@ -57,44 +62,47 @@
 
 void Leader::on(HeartbeatReceived& message) {
   if (!is_active_leader()) return message.reply({});
-  note_acting();
+  record_leading();
   const auto& heartbeat = message.heartbeat;
-  if (message.route == net::HeartbeatRoute::relayed) reachability_probe_.note_suspicion();
+  if (message.route == net::HeartbeatRoute::relayed) reachability_probe_.record_suspicion();
   const bool brief = message.base_sequence != 0;
-  const wire::HeartbeatResponse in_full{0, wire::HeartbeatResult::resend_in_full, {}, {}};
+  const wire::HeartbeatResponse resend_response{0, wire::HeartbeatResult::resend_in_full, {}, {}};
   auto* machine = fleet_.find(heartbeat.machine_id);
   if (machine == nullptr) {
-    if (brief) return message.reply(in_full);
-    // Its lease is not counted here: it does not go on while anything runs there (invariants 5 and 29).
-    const bool idle = std::none_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), runs);
-    probe_unregistered(heartbeat, idle);
+    if (brief) return message.reply(resend_response);
+    // The lease of an unregistered machine is not tracked, so it is not extended while anything runs there
+    // (invariants 5 and 29).
+    const bool idle = std::none_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), is_active);
+    probe_unregistered_machine(heartbeat, idle);
     return message.reply(idle ? accepted_response({}) : wire::HeartbeatResponse{});
   }
-  // Invariant 26: its worker waits for no answer to this one, so none extends a lease.
+  // Invariant 26: the agent no longer waits for a response to an outdated or duplicate heartbeat, so none may
+  // extend its lease.
   if (machine->already_received(heartbeat)) {
     ++event_counts_["reports came again or too late"];
     return message.reply({});
   }
-  if (message.route == net::HeartbeatRoute::direct) machine_monitor_.note_direct_contact();
+  if (message.route == net::HeartbeatRoute::direct) machine_monitor_.record_direct_contact();
   if (brief && !apply_brief_heartbeat(*machine, heartbeat, message.base_sequence, message.forwarded_by))
-    return message.reply(in_full);
+    return message.reply(resend_response);
   if (!brief && !machine->rented_this_term && heartbeat.fencing_token.value < first_term_)
-    return on_undated_heartbeat(*machine, heartbeat, message.reply);
+    return on_heartbeat_with_old_token(*machine, heartbeat, message.reply);
   if (!brief) on_machine_up(*machine, heartbeat, true);
-  const bool news = brief || apply_heartbeat(*machine, heartbeat, &message.forwarded_by);
+  const bool is_new = brief || apply_heartbeat(*machine, heartbeat, &message.forwarded_by);
   machine->heartbeat_sequence = heartbeat.sequence;
   machine->last_heartbeat_received_at = loop().now();
-  machine_monitor_.update_reporting(*machine);
-  // An answer with a valid fencing token extends the worker's lease whatever it holds: also when a direct
-  // answer has overtaken the heartbeat. Else its tasks would be started elsewhere while they still run
-  // (invariant 6).
+  machine_monitor_.update_uplink(*machine);
+  // A response with a valid fencing token extends the agent's lease whatever it contains, even if the
+  // response to a direct request has overtaken the heartbeat. If the extension were not counted, tasks would
+  // be started elsewhere while they still run here (invariant 6).
   machine->lease.record_renewal(loop().now());
   machine->answered_at = loop().now();
   update_lease_forecast(*machine);
-  if (!news) return message.reply(accepted_response(stops_for(heartbeat, jobs_)));
+  if (!is_new) return message.reply(accepted_response(stop_commands_for(heartbeat, jobs_)));
   machine->downlink.response_sent(loop().now(), heartbeat.sequence, heartbeat.agent_epoch,
                                   wire::FencingToken{term_}, message.forwarded_by);
-  // What is placed now goes out with the answer: that spares a request and a heartbeat for each task.
+  // Tasks placed in the scheduled pass are started with this response, which saves a request and a heartbeat
+  // for each task.
   if (!queue_.jobs().empty() && machine->takes_tasks() && machine->available().cores > 0) {
     pending_responses_.push_back({machine->id, heartbeat.sequence, std::move(message.reply)});
     return schedule_placement();
@@ -102,15 +110,17 @@
   answer_heartbeat(*machine, heartbeat.sequence, message.reply);
 }
 
-// Invariant 26: what shows no fencing token of this term may have been sent at any time under an earlier
-// leader, and come to this one late. It teaches only what can but rise: that agent epochs before its own are
-// over. Its list of tasks, its notice and that the machine is up may long be untrue. A worker that hears the
-// answer reports the new fencing token at once.
-void Leader::on_undated_heartbeat(Machine& machine, const wire::Heartbeat& heartbeat,
-                                  const net::HeartbeatReply& reply) {
+// Invariant 26: a heartbeat without a fencing token of this term may have been sent at any time under an
+// earlier leader and have been delayed. The leader uses only information that cannot become outdated: that
+// agent epochs before the heartbeat's own have ended. Its task list, its preemption notice and the fact that
+// the machine is up may long be untrue. An agent that receives the response sends a heartbeat with the new
+// fencing token at once.
+void Leader::on_heartbeat_with_old_token(Machine& machine, const wire::Heartbeat& heartbeat,
+                                         const net::HeartbeatReply& reply) {
   const double now = loop().now();
-  // Its lease cannot reach beyond this: no earlier leader answered after the term began, and what was
-  // answered since would have shown the fencing token. Later copies must not put off that it counts as over.
+  // The lease cannot last beyond this point: no earlier leader answered after the term began, and an agent
+  // that received a response since would have shown the new fencing token. Later copies must not postpone the
+  // expiry.
   if (machine.inherited && !machine.confirmed && now - term_began_at_ > settings_.lease_s) return reply({});
   if (heartbeat.agent_epoch > machine.agent_epoch) {
     if (machine.agent_epoch.value != 0) on_new_agent_epoch(machine, heartbeat.agent_epoch);
@@ -121,15 +131,15 @@
   }
   machine.heartbeat_sequence = heartbeat.sequence;
   machine.last_contact = machine.last_heartbeat_received_at = now;
-  machine.lease.record_renewal(now);  // it may be true all the same (invariant 6)
-  reply(accepted_response(stops_for(heartbeat, jobs_)));
+  machine.lease.record_renewal(now);  // The heartbeat may still be current (invariant 6).
+  reply(accepted_response(stop_commands_for(heartbeat, jobs_)));
 }
 
-// Invariant 26: a machine that nothing of ours names. It is recorded and used once it has answered a
-// question; one that is not there costs a request and no more.
-// `answered`: its heartbeat is, so its lease has just begun.
-void Leader::probe_unregistered(const wire::Heartbeat& heartbeat, bool answered) {
-  if (!unregistered_.should_probe(heartbeat, loop().now())) return;
+// Invariant 26: probes a machine that no stored record names. It is recorded and used only after it has
+// answered; a machine that does not exist costs one request and no more. `answered`: the heartbeat is being
+// answered, so the machine's lease has just begun.
+void Leader::probe_unregistered_machine(const wire::Heartbeat& heartbeat, bool answered) {
+  if (!unregistered_machines_.should_probe(heartbeat, loop().now())) return;
   log_->debug("machine {}: reports and is not known here, asking it", heartbeat.machine_id.value);
   ++event_counts_["unknown machines asked"];
   const wire::Json body{
@@ -143,7 +153,7 @@
           return;
         try {
           const auto answer = wire::parse_heartbeat(wire::parse_object(response.body));
-          if (answer.machine_id != machine_id) return;  // its address is another's by now
+          if (answer.machine_id != machine_id) return;  // The address belongs to another machine by now.
           register_machine(answer, answer.agent_epoch == agent_epoch ? answered_at : std::nullopt);
         } catch (const std::exception& error) {
           log_->warn("machine {}: answer cannot be read: {}", machine_id.value, error.what());
@@ -169,41 +179,43 @@
   update_lease_forecast(*machine);
 }
 
-void Leader::answer_heartbeat(Machine& machine, std::uint64_t counter, const net::HeartbeatReply& reply) {
-  reply(accepted_response(commands_for(machine, counter)));
+void Leader::answer_heartbeat(Machine& machine, std::uint64_t sequence, const net::HeartbeatReply& reply) {
+  reply(accepted_response(commands_for(machine, sequence)));
 }
 
-// Invariant 19: a brief heartbeat says that all but the counter is as in the heartbeat of counter `base`. It
-// is taken only where that is the last list of tasks that was applied here, in this agent epoch and this
-// term, and nothing waits for a list that is newer; else it must be sent in full.
-bool Leader::apply_brief_heartbeat(Machine& machine, const wire::Heartbeat& heartbeat, std::uint64_t base,
-                                   const std::string& by) {
+// Invariant 19: a brief heartbeat says that everything but the sequence number is as in the heartbeat with
+// sequence number `base_sequence`. It is accepted only if that one holds the last task list applied here, in
+// this agent epoch and this term, and nothing waits for a newer list. Otherwise the agent must send the
+// heartbeat in full.
+bool Leader::apply_brief_heartbeat(Machine& machine, const wire::Heartbeat& heartbeat,
+                                   std::uint64_t base_sequence, const std::string& forwarded_by) {
   if (!machine.up || !machine.recorded || !machine.confirmed || machine.lease_expired ||
-      machine.agent_epoch != heartbeat.agent_epoch || machine.listed_sequence != base ||
+      machine.agent_epoch != heartbeat.agent_epoch || machine.listed_sequence != base_sequence ||
       heartbeat.sequence <= machine.last_sequence)
     return false;
-  // A start that should be listed by now is missing: the list itself must show it (invariant 6).
-  const bool awaited =
+  // A start that the list should reflect by now is missing from it: the list itself must show this (invariant
+  // 6).
+  const bool awaits_list =
       std::any_of(machine.assignments.begin(), machine.assignments.end(), [&](const auto& entry) {
         const auto& assignment = entry.second;
         return assignment.state == AssignmentState::sent &&
                (assignment.stopping || assignment.in_flight_starts.is_reflected_in(heartbeat.sequence));
       });
-  if (awaited) return false;
-  const bool was_quiet = machine.overdue;
-  observe_downlink(machine, heartbeat, by, false, false);
-  note_contact(machine, heartbeat, false);
-  if (was_quiet) fleet_.refresh(machine);
+  if (awaits_list) return false;
+  const bool was_overdue = machine.overdue;
+  observe_downlink(machine, heartbeat, forwarded_by, false, false);
+  record_contact(machine, heartbeat, false);
+  if (was_overdue) fleet_.refresh(machine);
   return true;
 }
 
-void Leader::note_contact(Machine& machine, const wire::Heartbeat& heartbeat, bool direct) {
+void Leader::record_contact(Machine& machine, const wire::Heartbeat& heartbeat, bool direct) {
   const double now = loop().now();
   machine.last_sequence = heartbeat.sequence;
   machine.seen_token = std::max(machine.seen_token, heartbeat.fencing_token);
   if (!direct)
     machine.regular_heartbeat =
-        now - machine.last_heartbeat_applied_at >= kRegularReport * settings_.heartbeat_interval_s;
+        now - machine.last_heartbeat_applied_at >= kRegularHeartbeatShare * settings_.heartbeat_interval_s;
   if (!direct) machine.last_heartbeat_applied_at = now;
   machine.last_contact = now;
   machine.probes_unanswered = 0;
@@ -227,9 +239,9 @@
   if (!machine.recorded) record_machine(machine);
 }
 
-// Invariant 27: what it told before is not what it is now, in the same agent epoch: it ended and is back
-// under its old name. Nothing it says can be put in order with what it said before, copies of which may still
-// come.
+// Invariant 27: what the machine listed before in the same agent epoch is no longer there, so the machine
+// ended and came back under its old name. Its heartbeats cannot be ordered against the earlier ones, copies
+// of which may still arrive.
 void Leader::on_machine_restarted(Machine& machine) {
   if (machine.terminating) return;
   log_->warn("machine {}: is back and has forgotten its session, returning it", machine.id.value);
@@ -237,55 +249,58 @@
   terminate(machine, "back without its session");
 }
 
-// What this heartbeat shows of the answers before it.
-void Leader::observe_downlink(Machine& machine, const wire::Heartbeat& heartbeat, const std::string& by,
-                              bool lost_start, bool ran_start) {
+// Evaluates what this heartbeat shows about the delivery of earlier responses.
+void Leader::observe_downlink(Machine& machine, const wire::Heartbeat& heartbeat,
+                              const std::string& forwarded_by, bool lost_start, bool ran_start) {
   const auto before = machine.downlink.state();
   machine.downlink.heartbeat_received(loop().now(), machine_monitor_.timing(),
-                                      {heartbeat.sequence, heartbeat.agent_epoch, heartbeat.fencing_token, by,
-                                       lost_start, ran_start, !ports_.has_peer_contact()});
-  machine_monitor_.downlink_changed(machine, before);
+                                      {heartbeat.sequence, heartbeat.agent_epoch, heartbeat.fencing_token,
+                                       forwarded_by, lost_start, ran_start, !ports_.has_peer_contact()});
+  machine_monitor_.on_downlink_changed(machine, before);
 }
 
-bool Leader::apply_heartbeat(Machine& machine, const wire::Heartbeat& heartbeat, const std::string* by) {
-  const bool direct = by == nullptr;
+bool Leader::apply_heartbeat(Machine& machine, const wire::Heartbeat& heartbeat,
+                             const std::string* forwarded_by) {
+  const bool direct = forwarded_by == nullptr;
   // Invariant 11.
   if (std::pair(heartbeat.agent_epoch, heartbeat.sequence) <=
       std::pair(machine.agent_epoch, machine.last_sequence))
     return false;
   const double now = loop().now();
-  // A start that went with an earlier answer should be listed, whatever became of it. One that is not never
-  // arrived: it is taken back at once, instead of given again to a machine that may not hear.
+  // A start command in an earlier response should be listed, whatever became of the task. If it is not, the
+  // command never arrived: the task is withdrawn at once, instead of being sent again to a machine whose
+  // downlink may be lost.
   bool lost_start = false;
   bool ran_start = false;
   if (!direct && heartbeat.agent_epoch == machine.agent_epoch) {
-    std::set<wire::TaskId> shown;
-    for (const auto& task_status : heartbeat.tasks) shown.insert(task_status.task);
+    std::set<wire::TaskId> listed_tasks;
+    for (const auto& task_status : heartbeat.tasks) listed_tasks.insert(task_status.task);
     for (auto& [task_id, assignment] : machine.assignments) {
       if (assignment.state != AssignmentState::sent ||
           !assignment.in_flight_starts.is_reflected_in(heartbeat.sequence))
         continue;
-      (shown.contains(task_id) ? ran_start : lost_start) = true;
-      if (!shown.contains(task_id)) assignment.stopping = true;
+      (listed_tasks.contains(task_id) ? ran_start : lost_start) = true;
+      if (!listed_tasks.contains(task_id)) assignment.stopping = true;
     }
     if (lost_start) ++event_counts_["starts lost"];
   }
-  const bool session_begun = heartbeat.agent_epoch > machine.agent_epoch;
-  if (session_begun && machine.agent_epoch.value != 0) on_new_agent_epoch(machine, heartbeat.agent_epoch);
-  // A agent epoch that is new to us began at some moment before now: its lease is counted from here, or a
-  // direct answer would bring back a machine whose lease seems to have run out long ago.
-  if (session_begun || machine.lease_expired) {
+  const bool epoch_began = heartbeat.agent_epoch > machine.agent_epoch;
+  if (epoch_began && machine.agent_epoch.value != 0) on_new_agent_epoch(machine, heartbeat.agent_epoch);
+  // An agent epoch that is new to this leader began at an unknown time before now, so its lease is counted
+  // from now. Otherwise a direct response would bring back a machine whose lease appears to have expired long
+  // ago.
+  if (epoch_began || machine.lease_expired) {
     machine.lease.record_renewal(now);
     machine.answered_at.reset();
   }
   machine.agent_epoch = heartbeat.agent_epoch;
-  if (session_begun) machine.heartbeat_sequence = 0;
+  if (epoch_began) machine.heartbeat_sequence = 0;
   machine.listed_sequence = heartbeat.sequence;
-  if (!direct) observe_downlink(machine, heartbeat, *by, lost_start, ran_start);
-  note_contact(machine, heartbeat, direct);
+  if (!direct) observe_downlink(machine, heartbeat, *forwarded_by, lost_start, ran_start);
+  record_contact(machine, heartbeat, direct);
   const bool confirms = !machine.confirmed && machine.seen_token.value >= first_term_;
   if (confirms) {
-    // From here on nothing that an earlier leader ordered can take effect (invariant 5).
+    // From here on no command of an earlier leader can take effect (invariant 5).
     machine.confirmed = true;
     schedule_placement();
   }
@@ -296,28 +311,28 @@
     listed.insert(task_status.task);
     if (const auto known = machine.assignments.find(task_status.task);
         confirms && known != machine.assignments.end())
-      count_inherited(known->second);
+      record_inherited_task_seen(known->second);
     apply_task_status(machine, task_status);
   }
   std::erase_if(machine.exited_attempts, [&](const auto& entry) { return !listed.contains(entry.first); });
-  // Invariant 6: a start that was to be taken back and never happened is over once no order for it can
-  // still be on its way.
+  // Invariant 6: a withdrawn start that never happened is removed after no command for it can still be in
+  // flight.
   std::vector<wire::TaskId> never_started;
-  const auto shown = direct ? std::nullopt : std::optional(heartbeat.sequence);
+  const auto reflected_sequence = direct ? std::nullopt : std::optional(heartbeat.sequence);
   for (const auto& [task_id, assignment] : machine.assignments) {
-    const bool none_arrives = assignment.in_flight_starts.direct_starts_settled(machine.seen_token) &&
-                              assignment.in_flight_starts.response_start_settled(shown);
+    const bool no_start_in_flight = assignment.in_flight_starts.direct_starts_settled(machine.seen_token) &&
+                                    assignment.in_flight_starts.response_start_settled(reflected_sequence);
     if (assignment.stopping && assignment.state == AssignmentState::sent && !listed.contains(task_id) &&
-        none_arrives)
+        no_start_in_flight)
       never_started.push_back(task_id);
   }
   for (const auto& task_id : never_started) remove_assignment(machine, task_id);
-  // A worker lists a task until it is told to forget it, and it is told so only once the task has exited.
+  // An agent lists a task until it is told to forget it, which happens only after the task has exited.
   const bool lost_tasks =
       std::any_of(machine.assignments.begin(), machine.assignments.end(), [&](const auto& entry) {
-        const auto& [member, assignment] = entry;
+        const auto& [task_id, assignment] = entry;
         return assignment.state != AssignmentState::sent && assignment.agent_epoch == machine.agent_epoch &&
-               !listed.contains(member);
+               !listed.contains(task_id);
       });
   if (lost_tasks) on_machine_restarted(machine);
   fleet_.refresh(machine);
@@ -344,7 +359,7 @@
   if (found == machine.assignments.end()) return adopt_task(machine, task_status);
   auto& assignment = found->second;
   if (assignment.attempt != task_status.attempt) {
-    // An attempt of before; ours answers for itself.
+    // The exit is of an earlier attempt; the current attempt is listed separately.
     if (task_status.state == TaskState::exited) return;
     log_->warn("machine {}: {} runs as attempt {}, not {}", machine.id.value, task_status.task.text(),
                task_status.attempt.value, assignment.attempt.value);
@@ -387,10 +402,10 @@
   }
 }
 
-// Of an earlier leader: from here on it counts where it is used, and no more among what was not seen
-// (invariant 21). Only of a machine that has shown a fencing token of this term: a heartbeat that was held
-// back may tell of an agent epoch that ended under the earlier leader, whose tasks were replaced by others.
-void Leader::count_inherited(const Assignment& assignment) {
+// Counts an inherited task as usage of its machine, and no longer as part of the usage that was not seen yet
+// (invariant 21). Called only for a machine that has shown a fencing token of this term: a delayed heartbeat
+// may list an agent epoch that ended under the earlier leader and whose tasks were replaced by others.
+void Leader::record_inherited_task_seen(const Assignment& assignment) {
   if (!assignment.team.empty() && term_of_attempt(assignment.attempt) < first_term_)
     quota_.inherited_task_seen(assignment.team, assignment.request);
 }
@@ -405,11 +420,12 @@
     entry->second = ExitedAttempt{task_status.attempt, true, {}};
     if (live && task_status.exit_reason == ExitReason::done &&
         job->second.task_progress[task_status.task.index] != model::kTaskDone) {
-      // Finished under an earlier leader, or just before its lease ran out.
-      const bool elsewhere = job->second.task_progress[task_status.task.index] == model::kTaskAssigned;
-      if (elsewhere) return;  // the other attempt will exit with done by itself
+      // The task finished under an earlier leader, or just before the machine's lease expired.
+      const bool assigned_elsewhere =
+          job->second.task_progress[task_status.task.index] == model::kTaskAssigned;
+      if (assigned_elsewhere) return;  // The other attempt will exit with done itself.
       entry->second.stored = false;
-      on_task_completed(job->second, task_status.task.index, mark_stored(machine, task_status.task));
+      on_task_completed(job->second, task_status.task.index, exit_stored_callback(machine, task_status.task));
     }
     return;
   }
@@ -428,7 +444,7 @@
     assignment.largest = queue_.is_among_largest(job->second);
     assignment.request = job->second.spec.request;
   } else {
-    assignment.request = machine.capacity;  // unknown: the machine counts as full
+    assignment.request = machine.capacity;  // The request is unknown, so the machine counts as full.
   }
   if (!assignment.orphaned) {
     job->second.set_task_progress(task_status.task.index, model::kTaskAssigned);
@@ -438,10 +454,10 @@
                 task_status.task.text());
     ++event_counts_["stray tasks"];
   }
-  if (machine.confirmed && machine.seen_token.value >= first_term_) count_inherited(assignment);
-  const bool alien = assignment.orphaned;
+  if (machine.confirmed && machine.seen_token.value >= first_term_) record_inherited_task_seen(assignment);
+  const bool orphaned = assignment.orphaned;
   add_assignment(machine, std::move(assignment));
-  if (!alien && gangs_.follows(task_status.task.job)) {
+  if (!orphaned && gangs_.follows(task_status.task.job)) {
     gangs_.tracker().found(task_status.task, {machine.id, machine.zone}, loop().now());
     if (machine.draining)
       gangs_.tracker().must_leave(task_status.task, machine.preemption_at.has_value(), loop().now());
@@ -497,8 +513,8 @@
     job->second.reason.clear();
     if (std::exchange(job->second.faulty, false))
       log_->info("job {}: a task ended well, it is no longer taken for faulty", job->second.spec.id.value);
-    exited_attempt.stored = false;  // invariant 7
-    on_task_completed(job->second, task_status.task.index, mark_stored(machine, task_status.task));
+    exited_attempt.stored = false;  // Invariant 7.
+    on_task_completed(job->second, task_status.task.index, exit_stored_callback(machine, task_status.task));
   } else if (live && task_status.exit_reason != ExitReason::stopped) {
     log_->debug("machine {}: {} exited with {}", machine.id.value, task_status.task.text(),
                 name_of(task_status.exit_reason));
@@ -508,201 +524,207 @@
   machine.exited_attempts[task_status.task] = exited_attempt;
 }
 
-// To be run once an exit is in the store: the attempt may then be forgotten (invariant 7).
-std::function<void()> Leader::mark_stored(const Machine& machine, const wire::TaskId& task_id) {
+// Returns a callback to be called after an exit is stored: the attempt may then be forgotten (invariant 7).
+std::function<void()> Leader::exit_stored_callback(const Machine& machine, const wire::TaskId& task_id) {
   return [this, machine_id = machine.id, task_id] {
-    auto* at = fleet_.find(machine_id);
-    if (at == nullptr) return;
-    if (const auto left = at->exited_attempts.find(task_id); left != at->exited_attempts.end())
+    auto* found = fleet_.find(machine_id);
+    if (found == nullptr) return;
+    if (const auto left = found->exited_attempts.find(task_id); left != found->exited_attempts.end())
       left->second.stored = true;
   };
 }
 
-// Tells a sick machine from a faulty job. A job that failed on several machines with no task done since is
-// faulty: one task of it is tried now and then, and its failures say nothing of the machines. A machine is
-// sick when several jobs fail there, or one that is well elsewhere does again and again. With one batch in 25
-// faulty, counting each failure took 200 good machines out of use on a day without a sick one
-// (lakaskalk-ops).
-void Leader::on_task_failed(Machine& machine, Job& job, ExitReason cause) {
-  job.reason = std::string("a task failed: ") + name_of(cause);
+// Distinguishes a faulty machine from a faulty job. A job is faulty if it failed on several machines and none
+// of its tasks finished since: one of its tasks is tried from time to time, and its failures are not held
+// against machines. A machine is faulty if several jobs fail there, or if a job that works elsewhere fails
+// there repeatedly. When every failure counted against the machine and one batch in 25 was faulty, 200
+// healthy machines were taken out of use on a day without a faulty one (lakaskalk-ops).
+void Leader::on_task_failed(Machine& machine, Job& job, ExitReason reason) {
+  job.reason = std::string("a task failed: ") + name_of(reason);
   job.progress_dirty = true;
-  if (cause == ExitReason::error) {
+  if (reason == ExitReason::error) {
     job.failed_on.insert(machine.id);
-    // A job of which a replica serves is no faulty one: no service ever ends well.
-    const bool serves = gangs_.tracker().whole(job.spec.id) > 0;
+    // A job with a complete replica is not faulty: tasks of services never finish, so finished tasks prove
+    // nothing for them.
+    const bool has_complete_replica = gangs_.tracker().whole(job.spec.id) > 0;
     if (!job.faulty) {
       ++machine.errors_in_row;
       machine.error_jobs.insert(job.spec.id);
-      if (job.failed_on.size() >= kJobErrorMachines && !serves) {
+      if (job.failed_on.size() >= kJobErrorMachineThreshold && !has_complete_replica) {
         job.faulty = true;
         log_->warn(
             "job {}: its tasks fail on {} machines; one at a time is tried until it is well or cancelled",
             job.spec.id.value, job.failed_on.size());
-        clear_suspicion(job);
+        clear_failures_of_faulty_job(job);
       }
     }
-    const bool sick =
-        machine.error_jobs.size() >= kMachineErrorJobs ||
-        (!job.faulty && (job.finished_count > 0 || serves) && machine.errors_in_row >= kMachineErrors);
-    if (sick && !machine.draining) {
-      drain(machine, kUnhealthy);
+    const bool machine_faulty = machine.error_jobs.size() >= kMachineErrorJobThreshold ||
+                                (!job.faulty && (job.finished_count > 0 || has_complete_replica) &&
+                                 machine.errors_in_row >= kMachineErrorThreshold);
+    if (machine_faulty && !machine.draining) {
+      drain(machine, kTasksFailReason);
       log_->warn("machine {}: tasks keep failing there, taking it out of use", machine.id.value);
     }
     if (!job.faulty) return;
     job.reason = "its tasks fail on every machine tried";
   }
-  // Refused, or failing everywhere: not again at once, and with growing pauses.
+  // After a refused start or a failure on all machines the job is tried again later, with growing pauses.
   const double now = loop().now();
   if (now < job.blocked_until) return;
   ++job.failures_in_row;
-  job.blocked_until =
-      now + std::min(kLastBackoff, kFirstBackoff * job.failures_in_row) * settings_.control_interval_s;
+  job.blocked_until = now + std::min(kMaxBackoffIntervals, kBackoffStepIntervals * job.failures_in_row) *
+                                settings_.control_interval_s;
   if (job.faulty) job.failed_on.clear();
 }
 
-// The machines that a faulty job failed on are not to blame for it.
-void Leader::clear_suspicion(Job& job) {
-  for (const auto& host : job.failed_on) {
-    auto* machine = fleet_.find(host);
+// Clears the failures of a faulty job from its machines, which are not to blame for them.
+void Leader::clear_failures_of_faulty_job(Job& job) {
+  for (const auto& machine_id : job.failed_on) {
+    auto* machine = fleet_.find(machine_id);
     if (machine == nullptr || machine->error_jobs.erase(job.spec.id) == 0) continue;
     machine->errors_in_row = 0;
-    if (machine->error_jobs.size() < kMachineErrorJobs) cancel_drain(*machine, kUnhealthy);
+    if (machine->error_jobs.size() < kMachineErrorJobThreshold) cancel_drain(*machine, kTasksFailReason);
   }
 }
 
-void Leader::on_task_completed(Job& job, std::uint32_t index, std::function<void()> then) {
+void Leader::on_task_completed(Job& job, std::uint32_t index, std::function<void()> on_stored) {
   job.set_task_progress(index, model::kTaskDone);
   update_queue_membership(job);
   ++event_counts_["tasks done"];
   if (job.finished_count < job.spec.task_count)
     return completion_bitmaps_.store(completion_bitmaps_.record_of(job, index / wire::kCompletionChunkTasks),
-                                     FlushDelay::exits, std::move(then));
+                                     FlushDelay::exits, std::move(on_stored));
   log_->debug("job {}: all {} tasks done, {:.1f} s after acceptance ({} guessed {:.1f} s each)",
               job.spec.id.value, job.spec.task_count, loop().wall() - job.accepted_at, job.spec.job_class,
               job.spec.estimated_runtime_s);
   ++event_counts_["jobs done"];
-  write_job_done(job, std::move(then));
+  write_job_done(job, std::move(on_stored));
 }
 
-void Leader::write_job_done(const Job& job, Continuation then) {
+void Leader::write_job_done(const Job& job, Continuation on_stored) {
   writes_.store(
       wire::job_key(job.spec.id),
       final_record_json(make_job_record(job), wire::JobState::done, loop().wall(), writes_.value_limit()),
-      dependencies_.has_dependents(job.spec.id) ? FlushDelay::awaited : FlushDelay::none, std::move(then));
+      dependencies_.has_dependents(job.spec.id) ? FlushDelay::awaited : FlushDelay::none,
+      std::move(on_stored));
 }
 
-// The assignment is to be stopped; returns the command that does it.
+// Marks the assignment as stopping; returns the stop command.
 Command Leader::mark_stopping(Assignment& assignment, double grace_period_s) {
   assignment.stopping = true;
   assignment.grace_period_s = grace_period_s;
   return {CommandType::stop, assignment.task, assignment.attempt, grace_period_s};
 }
 
-void Leader::stop_all(const Job& job) {
+void Leader::stop_all_tasks(const Job& job) {
   std::map<wire::MachineId, std::vector<Command>> commands;
-  for (const auto& [index, host] : job.task_machines) {
-    auto* machine = fleet_.find(host);
+  for (const auto& [index, machine_id] : job.task_machines) {
+    auto* machine = fleet_.find(machine_id);
     if (machine == nullptr) continue;
     const auto assignment = machine->assignments.find({job.spec.id, index});
     if (assignment != machine->assignments.end())
-      commands[host].push_back(mark_stopping(assignment->second, 0));
+      commands[machine_id].push_back(mark_stopping(assignment->second, 0));
   }
-  for (auto& [host, list] : commands) send_command(*fleet_.find(host), std::move(list));
+  for (auto& [machine_id, list] : commands) send_command(*fleet_.find(machine_id), std::move(list));
 }
 
-std::vector<Command> Leader::commands_for(Machine& machine, std::uint64_t answered_counter) {
+std::vector<Command> Leader::commands_for(Machine& machine, std::uint64_t answered_sequence) {
   std::vector<Command> forgets;
   for (auto& [task_id, exited_attempt] : machine.exited_attempts) {
-    // Invariant 7: a start of this attempt that is still on its way would start it once more.
+    // Invariant 7: a start command of this attempt that is still in flight would start it once more.
     if (exited_attempt.stored && exited_attempt.in_flight_starts.direct_starts_settled(machine.seen_token) &&
-        forgets.size() < kMaxOrders / 2)
+        forgets.size() < kMaxCommands / 2)
       forgets.push_back({CommandType::forget, task_id, exited_attempt.attempt, 0});
   }
   std::vector<Command> commands;
   for (auto& [task_id, assignment] : machine.assignments) {
-    if (commands.size() >= kMaxOrders / 2) break;
+    if (commands.size() >= kMaxCommands / 2) break;
     if (assignment.stopping) {
       commands.push_back({CommandType::stop, task_id, assignment.attempt, assignment.grace_period_s});
     } else if (assignment.state == AssignmentState::sent && machine.takes_tasks()) {
       commands.push_back({CommandType::start, task_id, assignment.attempt, 0});
-      assignment.in_flight_starts.record_response_start(answered_counter);
+      assignment.in_flight_starts.record_response_start(answered_sequence);
     }
   }
-  // The worker reports again when it has forgotten something: that can wait for orders or the next regular
-  // report. First in the answer all the same: a start may be of a task that is forgotten here.
-  if (commands.empty() && !machine.regular_heartbeat && forgets.size() < kForgetAlone) return commands;
+  // The agent sends another heartbeat after it has forgotten something, so few forget commands wait for other
+  // commands or for the next regular heartbeat. They come first in the response all the same, because a start
+  // command may be for a task that is forgotten here.
+  if (commands.empty() && !machine.regular_heartbeat && forgets.size() < kMinForgetBatch) return commands;
   forgets.insert(forgets.end(), commands.begin(), commands.end());
   return forgets;
 }
 
-void Leader::send_command(Machine& machine, std::vector<Command> commands, Continuation over) {
+void Leader::send_command(Machine& machine, std::vector<Command> commands, Continuation on_done) {
   if (!is_active_leader() || machine.address.empty()) {
-    if (over) loop().post(guard(std::move(over)));
+    if (on_done) loop().post(guard(std::move(on_done)));
     return;
   }
   for (const auto& command : commands)
     if (command.type == CommandType::start)
       machine.assignments.at(command.task).in_flight_starts.record_direct_start();
   const wire::FencingToken fencing_token{term_};
-  // A machine whose agent epoch is not known yet answers 409 with its heartbeat, which tells it.
+  // A machine whose agent epoch is not known yet answers 409 with its heartbeat, which contains it.
   const auto agent_epoch = std::max<std::uint64_t>(1, machine.agent_epoch.value);
   const wire::Json body{
       {"fence", fencing_token.value}, {"tenure", agent_epoch}, {"orders", to_json(commands)}};
   machine.last_probe = loop().now();
   machine.downlink.probe_sent(loop().now(), machine_monitor_.timing());
-  // A question without orders may be missed: where services wait for it, less long.
-  const bool brief = !machine.confirmed || (commands.empty() && machine.service_cores > 0);
-  const double patience =
-      brief ? kUnconfirmedTimeoutIntervals * settings_.control_interval_s : settings_.control_interval_s;
-  ports_.workers.send(machine.address, {net::Method::post, "/commands", body.dump()}, patience,
-                      guard([this, machine_id = machine.id, commands = std::move(commands),
-                             asked = ProbeState{fencing_token, machine.newest_received()}, term = first_term_,
-                             over = std::move(over)](const net::Response& response) {
-                        if (!is_leader_ || term != first_term_) return;
-                        on_command_answered(machine_id, commands, asked, response);
-                        if (over) over();
-                      }));
+  // A probe without commands may be lost without harm. The timeout is shorter for unconfirmed machines and
+  // where services run.
+  const bool short_timeout = !machine.confirmed || (commands.empty() && machine.service_cores > 0);
+  const double timeout_s = short_timeout ? kUnconfirmedProbeTimeoutIntervals * settings_.control_interval_s
+                                         : settings_.control_interval_s;
+  ports_.workers.send(
+      machine.address, {net::Method::post, "/commands", body.dump()}, timeout_s,
+      guard([this, machine_id = machine.id, commands = std::move(commands),
+             sent_state = ProbeState{fencing_token, machine.newest_received()}, term = first_term_,
+             on_done = std::move(on_done)](const net::Response& response) {
+        if (!is_leader_ || term != first_term_) return;
+        on_command_answered(machine_id, commands, sent_state, response);
+        if (on_done) on_done();
+      }));
 }
 
 void Leader::on_command_answered(const wire::MachineId& machine_id, const std::vector<Command>& commands,
-                                 const ProbeState& asked, const net::Response& response) {
-  const auto fencing_token = asked.fencing_token;
+                                 const ProbeState& sent_state, const net::Response& response) {
+  const auto fencing_token = sent_state.fencing_token;
   auto* found = fleet_.find(machine_id);
   if (found == nullptr) return;
   auto& machine = *found;
-  const bool certain = response.status == 200 || response.status == 409;
+  const bool answered = response.status == 200 || response.status == 409;
   for (const auto& command : commands) {
     if (command.type != CommandType::start) continue;
     if (const auto assignment = machine.assignments.find(command.task);
         assignment != machine.assignments.end() && assignment->second.attempt == command.attempt) {
-      assignment->second.in_flight_starts.record_direct_result(fencing_token, certain);
+      assignment->second.in_flight_starts.record_direct_result(fencing_token, answered);
     } else if (const auto left = machine.exited_attempts.find(command.task);
                left != machine.exited_attempts.end() && left->second.attempt == command.attempt) {
-      left->second.in_flight_starts.record_direct_result(fencing_token, certain);
+      left->second.in_flight_starts.record_direct_result(fencing_token, answered);
     }
-    if (!certain) machine.uncertain_start_at = loop().now();
+    if (!answered) machine.uncertain_start_at = loop().now();
   }
-  const auto hearing = machine.downlink.state();
-  machine.downlink.probe_ended(loop().now(), machine_monitor_.timing(), certain);
-  if (!certain && std::any_of(commands.begin(), commands.end(),
-                              [](const Command& command) { return command.type == CommandType::start; }))
+  const auto downlink_before = machine.downlink.state();
+  machine.downlink.probe_ended(loop().now(), machine_monitor_.timing(), answered);
+  if (!answered && std::any_of(commands.begin(), commands.end(),
+                               [](const Command& command) { return command.type == CommandType::start; }))
     machine.downlink.command_unanswered(loop().now());
-  machine_monitor_.downlink_changed(machine, hearing);
-  if (!certain) {
+  machine_monitor_.on_downlink_changed(machine, downlink_before);
+  if (!answered) {
     ++machine.probes_unanswered;
-    reachability_probe_.note_suspicion();
+    reachability_probe_.record_suspicion();
     return;
   }
-  machine_monitor_.note_direct_contact();
+  machine_monitor_.record_direct_contact();
   try {
     const auto heartbeat = wire::parse_heartbeat(wire::parse_object(response.body));
     if (heartbeat.machine_id != machine.id) return;
-    if (std::pair(heartbeat.agent_epoch, heartbeat.sequence) <= asked.newest)
+    if (std::pair(heartbeat.agent_epoch, heartbeat.sequence) <= sent_state.newest_received)
       return on_machine_restarted(machine);
-    const auto before = machine.agent_epoch;
+    const auto assumed_epoch = machine.agent_epoch;
     apply_heartbeat(machine, heartbeat, nullptr);
-    // A agent epoch other than assumed: show the fencing token again, for the agent epoch it has.
-    if (response.status == 409 && !machine.confirmed && machine.agent_epoch != before)
+    // The agent epoch differed from the assumed one: shows the fencing token again, for the actual agent
+    // epoch.
+    if (response.status == 409 && !machine.confirmed && machine.agent_epoch != assumed_epoch)
       send_command(machine, {});
   } catch (const std::exception& error) {
     log_->warn("machine {}: answer cannot be read: {}", machine_id.value, error.what());
@@ -720,14 +742,15 @@
   ++event_counts_["machines warned"];
   for (auto& [task_id, assignment] : machine.assignments) {
     const auto job = jobs_.find(task_id.job);
-    // A replica that spans machines moves as one, when all its places are found (drain).
+    // A gang moves as a whole, after all its new machines are found (drain).
     if (job == jobs_.end() || assignment.stopping || gangs_.follows(task_id.job)) continue;
     const auto& spec = job->second.spec;
-    const double left = estimated_runtime_s(job->second) -
-                        (assignment.running_since > 0 ? now - assignment.running_since : 0);
-    // What ends before the notice does may end; the rest moves now, saving what it can.
+    const double remaining_s = estimated_runtime_s(job->second) -
+                               (assignment.running_since > 0 ? now - assignment.running_since : 0);
+    // Tasks that end in the first half of the notice period may finish. The others are stopped now and save a
+    // checkpoint if they can.
     if (!job->second.is_service() && assignment.state == AssignmentState::running &&
-        left < preemption_notice_s / 2)
+        remaining_s < preemption_notice_s / 2)
       continue;
     assignment.stopping = true;
     assignment.grace_period_s =
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -1,5 +1,5 @@
-// The lone leader: rounds, placement, recovery, reconciliation. docs/SAFETY.md numbers the invariants that
-// the comments here cite.
+// The controller that holds leadership: takes in heartbeats, places tasks, recovers the state of earlier
+// terms and reconciles it with the cloud. docs/SAFETY.md numbers the invariants that the comments here cite.
 #pragma once
 
 #include <deque>
@@ -43,59 +43,64 @@
 
 namespace bankhill::leader {
 
-constexpr unsigned kAttemptBits = 24;  // attempts of one term; the term is above them
+// Low bits of an attempt number, which count the attempts of one term. The bits above them hold the term.
+constexpr unsigned kAttemptBits = 24;
 inline std::uint64_t term_of_attempt(wire::AttemptNumber attempt) { return attempt.value >> kAttemptBits; }
 
 struct Settings {
-  std::string node;
+  std::string node;  // Host name of this controller.
   std::uint64_t incarnation = 0;
-  double heartbeat_interval_s = 3;  // workers report this often
-  double control_interval_s =
-      3;  // what is asked again, waited for or given up goes by this (app/settings.hpp)
+  double heartbeat_interval_s = 3;  // Interval at which agents send heartbeats.
+  // Unit of the leader's retries, timeouts and back-offs (app/settings.hpp).
+  double control_interval_s = 3;
   double lease_s = 40;
-  double max_read_age_s = 6;  // that the last read barrier may have (model/cancellation_bound.hpp)
-  double gang_wait_s = 45;    // a replica that spans machines is whole in this time, or stopped
-  double gang_peer_s = 5;     // after one member is known to be gone, in which its peers are stopped
-  // Machines that make one replica, by team and class; empty: one each.
+  double max_read_age_s = 6;  // Maximum age of the last read barrier (model/cancellation_bound.hpp).
+  double gang_wait_s = 45;    // Time after which a gang that is still incomplete is stopped.
+  double gang_peer_s = 5;  // Time in which the remaining tasks of a gang are stopped after one task was lost.
+  // Number of machines that form one replica, by team and job class. If empty, each replica uses one machine.
   std::function<std::uint32_t(const std::string& team, const std::string& job_class)> replica_span;
-  double list_lag_s = 5;
+  double list_lag_s = 5;  // Maximum delay until the cloud's machine list shows a change.
   std::size_t controllers = 1;
-  std::size_t max_machines = 100'000;  // that all controllers together can take the heartbeats of
-  std::string main_zone;               // that has the most controllers; empty if no zone has
+  std::size_t max_machines = 100'000;  // Machines whose heartbeats all controllers together can handle.
+  std::string main_zone;               // The zone with the most controllers; empty if there is no such zone.
   std::size_t txn_ops = 16;
   double value_kb = 8;
   std::size_t final_states_kept = 20000;
   std::vector<Team> teams;
-  // Time in which a class's jobs should be done, from the objectives.
-  std::map<std::string, std::vector<double>> within_s;  // rising
-  // Multiples of its own deadline by which a class's job should be done, from the objectives.
-  std::map<std::string, std::vector<double>> deadline_times;  // rising
-  // Operator's settings.
+  // Target completion times of each job class, from the service-level objectives, in ascending order.
+  std::map<std::string, std::vector<double>> within_s;
+  // Target completion times of each job class as multiples of the job's own deadline, from the service-level
+  // objectives, in ascending order.
+  std::map<std::string, std::vector<double>> deadline_times;
+  // Operator settings.
   double alpha = 0.8;
   double phi = 0.1;
   double round_s = 15;
   double idle_boots = 2.5;
-  double begin_within_s = 240;  // in which the largest jobs of a class should begin
-  double largest_share = 0.5;   // part of them that should be served at least
+  double begin_within_s = 240;  // Target time in which the largest jobs of a class should start.
+  double largest_share = 0.5;   // Share of the largest jobs that should meet that target.
 };
 
 // Messages.
 struct StoreChanged {
   state::Changes changes;
 };
-struct LeaseGranted {  // may act as holder of this lease until then (steady clock)
+// This controller holds the lease with this id until `valid_until` (steady clock).
+struct LeaseGranted {
   std::uint64_t lease_id = 0;
-  double until = 0;
+  double valid_until = 0;
 };
 struct HeartbeatReceived {
   wire::Heartbeat heartbeat;
-  std::uint64_t base_sequence =
-      0;  // not 0: brief, all else is as in the heartbeat of that counter (invariant 19)
+  // Nonzero for a brief heartbeat: everything but the sequence number is unchanged since the heartbeat with
+  // this sequence number (invariant 19).
+  std::uint64_t base_sequence = 0;
   net::HeartbeatReply reply;
   net::HeartbeatRoute route = net::HeartbeatRoute::direct;
-  std::string forwarded_by;  // the peer that it came through; empty: none
+  std::string forwarded_by;  // The peer that forwarded the heartbeat; empty if none did.
 };
 
+// Runs on every controller and tracks jobs there; manages the fleet while this controller leads.
 class Leader : public runtime::Actor<Leader, StoreChanged, LeaseGranted, HeartbeatReceived>,
                private state::WriteOwner {
  public:
@@ -106,17 +111,20 @@
     std::function<void()> raise_term;
     std::function<void()> resign;
     std::function<bool()> has_peer_contact;
-    std::function<double()> peer_led_at;  // when another controller last said that it leads (steady clock)
-    std::function<void(wire::JobProgress)> progress;
+    // Time on the steady clock at which a peer last announced that it leads.
+    std::function<double()> peer_last_led_at;
+    std::function<void(wire::JobProgress)> publish_job_progress;
   };
 
   Leader(runtime::Loop& loop, runtime::Log log, Settings settings, Ports ports);
   void start();
-  // Whether this controller may give orders at this moment (invariant 2).
+  // Whether this controller may issue commands now: it leads, its lease is valid and its state is fresh
+  // (invariant 2).
   bool is_active_leader() const;
-  bool state_stale() const;
+  bool is_state_stale() const;
   std::uint64_t term() const { return term_; }
-  const model::Job* job(const wire::JobId& id) const;  // nothing: not known
+  // The job with this id, or nullptr if it is unknown.
+  const model::Job* job(const wire::JobId& id) const;
 
   void on(StoreChanged& message);
   void on(LeaseGranted& message);
@@ -124,21 +132,26 @@
 
  private:
   using Continuation = std::function<void()>;
-  struct PendingResponse {  // a heartbeat whose answer waits for the placement under way
+  // A heartbeat whose response is delayed until the scheduled placement pass has run.
+  struct PendingResponse {
     wire::MachineId machine_id;
     std::uint64_t sequence = 0;
     net::HeartbeatReply reply;
   };
-  struct MachineSearchResult {  // for a task; if no machine was found, why
+  // Result of the search for a machine for one task, with the reasons if none was found.
+  struct MachineSearchResult {
     model::Machine* machine = nullptr;
-    bool preempted = false;             // tasks were stopped there for it
-    bool rejected_for_task = false;     // one with room was passed over for a reason that is this task's own
-    bool rejected_as_reserved = false;  // one was that is reserved for another, which only some tasks may use
+    bool preempted = false;  // Tasks on the machine were preempted for this task.
+    bool rejected_for_task =
+        false;  // A machine with free resources was rejected for a reason specific to the task.
+    // A machine with free resources was rejected because it is reserved for others.
+    bool rejected_as_reserved = false;
   };
+  // Whether tasks may be preempted for a job now.
   enum class PreemptionState {
-    allowed,  // for tasks to stop
-    pending,  // what was stopped before is on its way
-    deferred,
+    allowed,
+    pending,   // An earlier preemption for the job is still in progress.
+    deferred,  // The last preemption, or the last search for victims, was too recent.
   };
   struct PlacementPass;
   using Jobs = std::map<wire::JobId, model::Job>;
@@ -146,11 +159,11 @@
 
   // Term (leader.cpp)
   void tick();
-  void follow_leadership();
+  void update_leadership();
   void begin_term();
   void end_term();
-  void learn_job(const state::Change& change);
-  void learn_partial(const wire::JobId& id, const state::Change& change);
+  void apply_job_change(const state::Change& change);
+  void apply_unreadable_job_record(const wire::JobId& id, const state::Change& change);
   // Waiting jobs (dependencies.cpp)
   model::DependencyInfo dependency_info(const model::Job& job) const;
   model::DependencyInfo dependency_info_of(const wire::JobId& id) const;
@@ -165,25 +178,26 @@
   void delete_dependency_parts(const wire::JobId& id, std::uint32_t parts);
   void collect_dependency_garbage();
   wire::Priority effective_priority(const model::Job& job) const;
-  void lead_job(model::Job& job);
-  void update_queue_membership(model::Job& job);  // after its ready tasks changed
-  void drop_final();
-  void clear_term();
+  void init_job_for_term(model::Job& job);
+  // Adds the job to the queue or removes it. Must be called after a change of its ready tasks.
+  void update_queue_membership(model::Job& job);
+  void evict_ended_jobs();
+  void clear_term_state();
   void adopt_records();
   void adopt_quota();
-  bool adopt_finished(const std::string& key, const wire::Json& data);
-  void probe_unconfirmed();
-  void log_summary();
+  bool adopt_completion_record(const std::string& key, const wire::Json& data);
+  void probe_unconfirmed_machines();
+  void log_event_summary();
   ReachabilityProbe::Ports reachability_ports();
   std::vector<wire::MachineId> reachability_candidates();
   void send_read_barrier();
   void fetch_catalogue();
   void publish_progress();
-  const wire::MachineType* find_machine_type(
-      const std::string& name) const;  // nothing if the catalogue lacks it
+  // The machine type with this name, or nullptr if the catalogue lacks it.
+  const wire::MachineType* find_machine_type(const std::string& name) const;
   void set_capacity(model::Machine& machine) const;
 
-  // Stored records (records.cpp): what the write coalescer asks
+  // Stored records: implementation of state::WriteOwner (records.cpp)
   bool may_write() const override;
   wire::KeyRevision expected_revision(const std::string& key) const override;
   bool is_final(const std::string& key) const override;
@@ -192,50 +206,54 @@
   state::WritePreparation prepare(const std::string& key, state::PendingWrite& write) override;
   void apply_committed(const state::Change& change) override;
   void after_commit() override;
-  const model::Job* recorded_job(const std::string& key) const;  // whose record this key holds
-  void drop_stray_record(const std::string& key);
-  bool is_stray(const std::string& key) const;
+  // The job whose record has this key, or nullptr if it is unknown.
+  const model::Job* find_job_by_key(const std::string& key) const;
+  void delete_recreated_record(const std::string& key);
+  bool is_deleted_record(const std::string& key) const;
 
   // Machines and their heartbeats (heartbeats.cpp)
-  void probe_unregistered(const wire::Heartbeat& heartbeat, bool answered);
+  void probe_unregistered_machine(const wire::Heartbeat& heartbeat, bool answered);
   void register_machine(const wire::Heartbeat& heartbeat, std::optional<double> answered_at);
   void on_machine_up(model::Machine& machine, const wire::Heartbeat& heartbeat, bool expected);
   void on_machine_restarted(model::Machine& machine);
-  void on_undated_heartbeat(model::Machine& machine, const wire::Heartbeat& heartbeat,
-                            const net::HeartbeatReply& reply);
+  void on_heartbeat_with_old_token(model::Machine& machine, const wire::Heartbeat& heartbeat,
+                                   const net::HeartbeatReply& reply);
   void record_machine(model::Machine& machine);
-  // `by`: the peer that the heartbeat came through, empty for none; nothing for a direct answer.
-  bool apply_heartbeat(model::Machine& machine, const wire::Heartbeat& heartbeat, const std::string* by);
-  bool apply_brief_heartbeat(model::Machine& machine, const wire::Heartbeat& heartbeat, std::uint64_t base,
-                             const std::string& by);
-  void observe_downlink(model::Machine& machine, const wire::Heartbeat& heartbeat, const std::string& by,
-                        bool lost_start, bool ran_start);
-  void note_contact(model::Machine& machine, const wire::Heartbeat& heartbeat, bool direct);
+  // `forwarded_by`: the peer that forwarded the heartbeat, empty if none did; nullptr if the heartbeat is the
+  // response to a direct request. Returns false if the heartbeat is outdated.
+  bool apply_heartbeat(model::Machine& machine, const wire::Heartbeat& heartbeat,
+                       const std::string* forwarded_by);
+  bool apply_brief_heartbeat(model::Machine& machine, const wire::Heartbeat& heartbeat,
+                             std::uint64_t base_sequence, const std::string& forwarded_by);
+  void observe_downlink(model::Machine& machine, const wire::Heartbeat& heartbeat,
+                        const std::string& forwarded_by, bool lost_start, bool ran_start);
+  void record_contact(model::Machine& machine, const wire::Heartbeat& heartbeat, bool direct);
   wire::HeartbeatResponse accepted_response(std::vector<wire::Command> commands) const;
   void apply_task_status(model::Machine& machine, const wire::TaskStatus& task_status);
   void on_task_exited(model::Machine& machine, const wire::TaskStatus& task_status);
-  void on_task_completed(model::Job& job, std::uint32_t index, std::function<void()> then);
-  void write_job_done(const model::Job& job, Continuation then);
-  std::function<void()> mark_stored(const model::Machine& machine, const wire::TaskId& task_id);
-  void on_task_failed(model::Machine& machine, model::Job& job, wire::ExitReason cause);
-  void clear_suspicion(model::Job& job);
-  void count_inherited(const model::Assignment& assignment);
+  void on_task_completed(model::Job& job, std::uint32_t index, std::function<void()> on_stored);
+  void write_job_done(const model::Job& job, Continuation on_stored);
+  std::function<void()> exit_stored_callback(const model::Machine& machine, const wire::TaskId& task_id);
+  void on_task_failed(model::Machine& machine, model::Job& job, wire::ExitReason reason);
+  void clear_failures_of_faulty_job(model::Job& job);
+  void record_inherited_task_seen(const model::Assignment& assignment);
   void adopt_task(model::Machine& machine, const wire::TaskStatus& task_status);
   void remove_assignment(model::Machine& machine, const wire::TaskId& task_id);
   void on_new_agent_epoch(model::Machine& machine, wire::AgentEpoch agent_epoch);
   static wire::Command mark_stopping(model::Assignment& assignment, double grace_period_s);
-  void stop_all(const model::Job& job);
+  void stop_all_tasks(const model::Job& job);
   void add_assignment(model::Machine& machine, model::Assignment assignment);
   void adjust_allocated_cores(const model::Assignment& assignment, double sign);
-  void answer_heartbeat(model::Machine& machine, std::uint64_t counter, const net::HeartbeatReply& reply);
-  std::vector<wire::Command> commands_for(model::Machine& machine, std::uint64_t answered_counter);
-  void send_command(model::Machine& machine, std::vector<wire::Command> commands, Continuation over = {});
-  struct ProbeState {  // what was known when a direct request went out
+  void answer_heartbeat(model::Machine& machine, std::uint64_t sequence, const net::HeartbeatReply& reply);
+  std::vector<wire::Command> commands_for(model::Machine& machine, std::uint64_t answered_sequence);
+  void send_command(model::Machine& machine, std::vector<wire::Command> commands, Continuation on_done = {});
+  // What the leader knew of a machine when it sent a direct request to it.
+  struct ProbeState {
     wire::FencingToken fencing_token;
-    std::pair<wire::AgentEpoch, std::uint64_t> newest;
+    std::pair<wire::AgentEpoch, std::uint64_t> newest_received;
   };
   void on_command_answered(const wire::MachineId& machine_id, const std::vector<wire::Command>& commands,
-                           const ProbeState& asked, const net::Response& response);
+                           const ProbeState& sent_state, const net::Response& response);
   void on_preemption_notice(model::Machine& machine, double preemption_notice_s);
 
   // Placement (placement.cpp)
@@ -273,7 +291,7 @@
   bool has_too_many_services(const model::Machine& machine, const model::Job& job) const;
 
   // Preemption (preemption_execution.cpp)
-  // For a service that found a machine without its image: `instead_of`.
+  // `instead_of`: for a service, the machine without its image on which it would start otherwise.
   bool preempt_for(model::Job& job, const model::Machine* instead_of = nullptr);
   PreemptionState preemption_state(const model::Job& job) const;
   bool could_preempt_on(const model::Machine& machine, const model::Job& job) const;
@@ -288,7 +306,7 @@
   void on_assignment_removed(const model::Machine& machine, const model::Assignment& assignment);
   void log_ended_preemptions();
 
-  // Replicas that span machines (gangs.cpp)
+  // Gangs: replicas that span machines (gangs.cpp)
   using CommandsByMachine = std::map<wire::MachineId, std::vector<wire::Command>>;
   void track_gang(const model::Job& job);
   void update_gang_spans();
@@ -297,7 +315,8 @@
   int place_gangs(model::Job& job, CommandsByMachine& commands);
   void move_gangs();
   void rent_for_gangs(const std::vector<planner::Offer>& offers);
-  std::uint32_t placeable_tasks(const model::Job& job) const;  // ready tasks that can make a replica
+  // Number of the job's ready tasks that can form complete replicas.
+  std::uint32_t placeable_tasks(const model::Job& job) const;
   void on_gang_machine_draining(const model::Machine& machine);
   void on_gang_machine_failed(const model::Machine& machine);
 
@@ -305,87 +324,91 @@
   void plan_soon() { autoscaler_.plan_soon(); }
   Autoscaler::Settings autoscaler_settings() const;
   Autoscaler::Ports autoscaler_ports();
-  void look_ahead();
-  calendar::DeadlineForecast::Supply supply(const std::string& team) const;
+  void update_deadline_forecast();
+  calendar::DeadlineForecast::Supply supply_for(const std::string& team) const;
   void drain_if_excess(model::Machine& machine) { autoscaler_.drain_if_excess(machine); }
   void drain(model::Machine& machine, const std::string& reason);
   bool cancel_drain(model::Machine& machine, const std::string& reason);
   RentalManager::Settings rental_settings() const;
   RentalManager::Ports rental_ports();
-  void forget_machine(const wire::MachineId& machine_id);
-  void note_acting();
+  void remove_machine(const wire::MachineId& machine_id);
+  void record_leading();
   void update_lease_forecast(model::Machine& machine);
   void monitor_machines(double share);
-  void monitor(model::Machine& machine);
+  void monitor_machine(model::Machine& machine);
   MachineMonitor::Ports monitor_ports();
-  void note_starts_in_doubt(const model::Machine& machine);
-  double boot_s(const model::Machine& machine) const;
+  void check_unknown_start_outcomes(const model::Machine& machine);
+  double usual_boot_s(const model::Machine& machine) const;
   void terminate(model::Machine& machine, const std::string& reason) {
     rental_manager_.terminate(machine, reason);
   }
-  bool terminate_idle(model::Machine& machine) { return autoscaler_.terminate_if_idle(machine); }
-  double decay_factor(double passed) const;
+  bool terminate_if_idle(model::Machine& machine) { return autoscaler_.terminate_if_idle(machine); }
+  double decay_factor(double elapsed_s) const;
 
   runtime::Log log_;
   Settings settings_;
   Ports ports_;
 
-  state::StoreCache cache_;  // all but jobs
+  state::StoreCache cache_;  // All stored records except those of jobs.
   state::WriteCoalescer writes_;
   wire::CatalogueReader catalogue_;
   Jobs jobs_;
   model::DependencyGraph dependencies_;
-  state::KeyFetcher fetcher_;  // of jobs that are named and not known
-  std::deque<wire::JobId>
-      cancelled_dependents_;  // never started, cancelled with one they need: not yet in their records
+  state::KeyFetcher fetcher_;  // Reads the records of dependencies that are not in memory.
+  // Jobs cancelled before their start, together with a dependency, whose records do not say so yet.
+  std::deque<wire::JobId> cancelled_dependents_;
   std::map<wire::JobId, model::Job*> live_jobs_;
-  std::deque<wire::JobId> final_order_;
+  std::deque<wire::JobId> ended_jobs_;  // Ended jobs in the order in which they ended.
   std::vector<wire::MachineType> machine_types_;
   std::uint64_t lease_id_ = 0;
   double lease_valid_until_ = 0;
-  double lease_held_since_ = -1e9;  // since when the lease is held without a gap, by our count
-  double barrier_sent_at_ = -1e9;   // when the last read barrier that succeeded was sent
+  double lease_held_since_ = -1e9;  // Start of the current uninterrupted hold of the lease, as observed here.
+  double barrier_sent_at_ = -1e9;   // Time at which the last successful read barrier was sent.
 
-  // Of the current term.
+  // State of the current term.
   bool is_leader_ = false;
-  std::uint64_t term_ = 0;                 // the fencing token now
-  std::uint64_t first_term_ = 0;           // the fencing token with which the term began
-  wire::KeyRevision elected_at_revision_;  // jobs accepted later than this no earlier leader has started
+  std::uint64_t term_ = 0;        // The current fencing token.
+  std::uint64_t first_term_ = 0;  // The fencing token with which the term began.
+  // Store revision at the election. No earlier leader can have started a job accepted after it.
+  wire::KeyRevision elected_at_revision_;
   double term_began_at_ = 0;
-  double unreadable_machine_leases_until_ =
-      0;  // machines of an earlier leader may run tasks unseen: nothing starts before
-  std::uint64_t attempts_ = 0;
+  // Time until which machines of earlier terms whose records cannot be read may still run tasks. Nothing is
+  // started before it.
+  double unreadable_machine_leases_until_ = 0;
+  std::uint64_t attempts_ = 0;  // Number of attempts started in this term.
   QuotaLedger quota_;
   model::Fleet fleet_;
   RentalManager rental_manager_;
-  UnregisteredMachines unregistered_;
+  UnregisteredMachines unregistered_machines_;
   storage::RecordNumbers record_numbers_;
   storage::MachineGroups machine_groups_;
   storage::CompletionBitmaps completion_bitmaps_;
-  std::deque<wire::MachineId> to_probe_;  // recorded machines that this term has not asked yet
-  std::size_t probes_under_way_ = 0;
+  std::deque<wire::MachineId> machines_to_probe_;  // Recorded machines that this term has not probed yet.
+  std::size_t probes_in_flight_ = 0;
   std::vector<PendingResponse> pending_responses_;
-  queue::JobQueue queue_;  // of live jobs with tasks to place
+  queue::JobQueue queue_;  // Live jobs with ready tasks.
   Autoscaler autoscaler_;
   gang::GangScheduler gangs_;
   queue::BackfillReservations backfill_reservations_;
   queue::PreemptionReservations preemption_reservations_;
   wire::MachineId backfill_cursor_;
-  calendar::DeadlineForecast forecast_;  // of the tenants' cutoffs
+  calendar::DeadlineForecast deadline_forecast_;  // Forecast for the cutoffs in the teams' calendars.
   VictimSelector victim_selector_;
   ReachabilityProbe reachability_probe_;
   MachineMonitor machine_monitor_;
   model::LeaseForecast lease_forecast_;
-  std::map<std::string, std::uint64_t> event_counts_;  // of what happened since the last summary in the log
+  std::map<std::string, std::uint64_t>
+      event_counts_;  // Events since the last summary in the log, by description.
   bool raising_term_ = false;
-  bool uncertain_start_ = false;
+  // Whether the current pass over the fleet found a start with an unknown outcome that must not take effect.
+  bool has_unknown_start_outcome_ = false;
   double term_raised_at_ = 0;
-  double next_round_ = 0;
-  double next_catalogue_ = 0;
-  double next_barrier_ = 0;
-  double next_progress_ = 0;
-  double next_summary_ = 0;
-  double last_tick_ = 0;
+  double next_round_at_ = 0;
+  double next_catalogue_fetch_at_ = 0;
+  double next_barrier_at_ = 0;
+  double next_progress_at_ = 0;
+  double next_summary_at_ = 0;
+  double last_tick_at_ = 0;
   bool placement_scheduled_ = false;
   runtime::Timer tick_timer_;
   runtime::Timer placement_timer_;
--- a/src/leader/machine_monitor.hpp
+++ b/src/leader/machine_monitor.hpp
@@ -1,6 +1,6 @@
-// Watches each machine: boots that take too long, overdue heartbeats, expired leases, lost links, and
-// machines that are given up as silent (docs/SAFETY.md, invariant 5). It decides; the leader carries out what
-// follows for tasks, for the fleet and in the cloud.
+// Monitors each machine: overdue boots, overdue heartbeats, expired leases, lost links, and machines that
+// have to be terminated because they are unreachable (docs/SAFETY.md, invariant 5). The monitor decides; the
+// leader carries out the consequences for tasks, for the fleet and in the cloud.
 #pragma once
 
 #include <functional>
@@ -15,88 +15,91 @@
 
 namespace bankhill::leader {
 
-// Control intervals in which a machine that is not confirmed in this term must answer: it holds up others'
-// tasks.
-constexpr double kUnconfirmedTimeoutIntervals = 0.5;
+// Response timeout for a machine that is not confirmed in this term, in control intervals. It is short
+// because tasks of other machines wait until the machine is confirmed.
+constexpr double kUnconfirmedProbeTimeoutIntervals = 0.5;
 
+// Owned by the leader, which calls it for every machine of the fleet in turn.
 class MachineMonitor {
  public:
   struct Settings {
     model::HeartbeatTiming timing;
     double round_s = 15;
   };
-  // Why a machine is given up.
+  // Why a machine is terminated.
   enum class Fault {
     never_booted,
-    silent,         // neither heartbeats nor answers to probes arrive
-    downlink_lost,  // heartbeats arrive, but no response or command reaches it
-    uplink_lost     // it answers probes, but its heartbeats reach no controller
+    unreachable,    // Neither heartbeats nor responses to probes arrive.
+    downlink_lost,  // Heartbeats arrive, but no response or command reaches the machine.
+    uplink_lost     // The machine answers probes, but its heartbeats reach no controller.
   };
-  // As the reason of its termination in logs.
-  static const char* text(Fault fault);
+  // The reason of the termination, as logged.
+  static const char* termination_reason(Fault fault);
 
-  // What the monitor causes, carried out by the leader.
+  // Actions that the monitor requests and the leader carries out.
   struct Ports {
     // Sends a direct request without commands.
     std::function<void(model::Machine& machine)> send_probe;
     std::function<void(model::Machine& machine, Fault fault)> terminate;
-    // The machine takes no more tasks and is returned once empty.
+    // Stops placement on the machine and terminates it once it is empty.
     std::function<void(model::Machine& machine, const std::string& reason)> drain;
-    // All agent epochs of its worker before `next` are over, with the tasks started in them.
-    std::function<void(model::Machine& machine, wire::AgentEpoch next)> sessions_over;
-    // The cloud may have taken it without notice.
-    std::function<void(const model::Machine& machine)> lost_to_cloud;
+    // All agent epochs of the machine before `next` have ended, and with them the tasks started there.
+    std::function<void(model::Machine& machine, wire::AgentEpoch next)> on_agent_epochs_ended;
+    // The cloud may have reclaimed the machine without notice.
+    std::function<void(const model::Machine& machine)> on_presumed_reclaim;
     std::function<double(const model::Machine& machine)> usual_boot_s;
     std::function<void(const std::string& event)> count_event;
     std::function<void()> plan_soon;
-    std::function<void()> place_soon;
+    std::function<void()> schedule_placement;
   };
-  // How long a machine has been silent, and how long it may be, at one moment. Kept through one check of a
-  // machine, whose tasks may go while it lasts.
-  struct SilenceCheck {
+  // Time since the last contact with a machine and the thresholds for it, at one moment. The same values are
+  // used for one whole check of the machine, although its tasks may be removed during the check.
+  struct ContactCheck {
     double now = 0;
-    double silence_s = 0;
-    bool downlink_works = true;  // as far as is known
-    model::FailureDetector::Thresholds limits;
+    double since_contact_s = 0;
+    bool downlink_works = true;  // False if the downlink is suspect or lost.
+    model::FailureDetector::Thresholds thresholds;
   };
 
-  // `fleet` must outlive it.
+  // `fleet` must outlive the monitor.
   MachineMonitor(runtime::Loop& loop, runtime::Log log, Settings settings, model::Fleet& fleet, Ports ports);
 
   void begin_term() { term_began_at_ = loop_.now(); }
-  // No heartbeat could be taken until now: none that is missing tells anything of its machine.
-  void listens_from_now() { listening_since_ = loop_.now(); }
-  // A machine reached this controller, or the other way round, without a peer's help.
-  void note_direct_contact() { last_direct_contact_at_ = loop_.now(); }
+  // This controller could not accept heartbeats until now: heartbeats missing so far say nothing about a
+  // machine.
+  void restart_listening() { listening_since_ = loop_.now(); }
+  // A machine reached this controller, or this controller a machine, without the help of a peer.
+  void record_direct_contact() { last_direct_contact_at_ = loop_.now(); }
 
-  // Of a machine that is not up yet.
+  // Checks a machine that is not up yet.
   void check_boot(model::Machine& machine);
-  // Counts a boot, and tells the operators when boots in general become bad or well again.
+  // Counts a boot, and logs when boots in general become slow or return to normal.
   void count_boot(bool in_time);
 
-  // Of a machine that is up, in this order; between the two the leader returns those it no longer wants.
-  SilenceCheck check_silence(const model::Machine& machine) const;
-  void check_heartbeats(model::Machine& machine, const SilenceCheck& check);
-  void check_given_up(model::Machine& machine, const SilenceCheck& check, bool reachability_in_doubt);
+  // The checks of a machine that is up, called in this order. Before the last one the leader terminates
+  // machines that it no longer needs.
+  ContactCheck check_contact(const model::Machine& machine) const;
+  void check_heartbeats(model::Machine& machine, const ContactCheck& check);
+  void check_unreachable(model::Machine& machine, const ContactCheck& check, bool reachability_uncertain);
 
-  // To be called after each heartbeat: whether its heartbeats come may have changed.
-  void update_reporting(model::Machine& machine);
-  // To be called after each change of its downlink's health, which was `before`.
-  void downlink_changed(model::Machine& machine, model::DownlinkHealth::State before);
+  // Updates the state of the machine's uplink. Must be called after each heartbeat.
+  void update_uplink(model::Machine& machine);
+  // Must be called after each change of the machine's downlink state, which was `before`.
+  void on_downlink_changed(model::Machine& machine, model::DownlinkHealth::State before);
   const model::HeartbeatTiming& timing() const { return settings_.timing; }
 
  private:
-  bool probe_due(const model::Machine& machine, const SilenceCheck& check) const;
-  bool unconfirmed_probe_due(const model::Machine& machine, const SilenceCheck& check) const;
-  void mark_overdue(model::Machine& machine, const SilenceCheck& check);
-  bool lease_expired(const model::Machine& machine, double now) const;
+  bool is_probe_due(const model::Machine& machine, const ContactCheck& check) const;
+  bool is_unconfirmed_probe_due(const model::Machine& machine, const ContactCheck& check) const;
+  void mark_overdue(model::Machine& machine, const ContactCheck& check);
+  bool has_lease_expired(const model::Machine& machine, double now) const;
   void expire_lease(model::Machine& machine);
-  bool silent_for_too_long(const model::Machine& machine, const SilenceCheck& check) const;
-  bool fault_may_be_ours(const model::Machine& machine, const SilenceCheck& check,
-                         bool reachability_in_doubt) const;
-  bool many_unheard(const model::Machine& machine) const;
+  bool is_contact_timed_out(const model::Machine& machine, const ContactCheck& check) const;
+  bool may_be_controller_fault(const model::Machine& machine, const ContactCheck& check,
+                               bool reachability_uncertain) const;
+  bool has_zone_outage(const model::Machine& machine) const;
   void check_lost_links(model::Machine& machine, double now);
-  double unreported_s(const model::Machine& machine) const;
+  double since_heartbeat_s(const model::Machine& machine) const;
 
   runtime::Loop& loop_;
   runtime::Log log_;
@@ -105,11 +108,11 @@
   Ports ports_;
   model::FailureDetector failure_detector_;
 
-  model::BootStatistics boots_;
-  // Steady clock.
-  double boots_counted_at_ = 0;
+  model::BootStatistics boot_statistics_;
+  // Times on the steady clock.
+  double boots_last_counted_at_ = 0;
   double term_began_at_ = 0;
-  double listening_since_ = 0;  // without a gap
+  double listening_since_ = 0;  // Start of the current period without a gap in accepting heartbeats.
   double last_direct_contact_at_ = 0;
 };
 
--- a/src/leader/machines.cpp
+++ b/src/leader/machines.cpp
@@ -1,4 +1,5 @@
-// The fleet: cutoffs ahead, machines that are drained, silent or gone, and what renting needs of the leader.
+// The fleet: forecasts for cutoffs, machines that are drained, unreachable or terminated, and the ports of
+// rental manager and autoscaler.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -12,31 +13,33 @@
 using queue::estimated_runtime_s;
 using state::FlushDelay;
 
-// What is left, after so many seconds, of something counted.
-double Leader::decay_factor(double passed) const { return model::decay(passed, settings_.round_s); }
+// The factor by which a count that decays with time shrinks in `elapsed_s` seconds.
+double Leader::decay_factor(double elapsed_s) const { return model::decay(elapsed_s, settings_.round_s); }
 
-// How the cutoffs stand, once a round: whoever comes at eight finds either the work done or a plain stall.
-void Leader::look_ahead() {
-  forecast_.begin(loop().wall());
+// Updates, once per planning round, whether the work due by each cutoff will be done in time, so that a
+// shortfall is logged and shown in the job status before the cutoff.
+void Leader::update_deadline_forecast() {
+  deadline_forecast_.begin(loop().wall());
   for (const auto& [id, job] : live_jobs_)
-    if (const auto by = queue_.cutoff(*job); by && !job->is_service())
-      forecast_.add(job->spec.team, *by,
-                    job->unfinished_tasks() * job->spec.request.cores * estimated_runtime_s(*job),
-                    estimated_runtime_s(*job));
-  const auto changed = forecast_.end([this](const std::string& team) { return supply(team); });
+    if (const auto cutoff = queue_.cutoff(*job); cutoff && !job->is_service())
+      deadline_forecast_.add(job->spec.team, *cutoff,
+                             job->unfinished_tasks() * job->spec.request.cores * estimated_runtime_s(*job),
+                             estimated_runtime_s(*job));
+  const auto changed = deadline_forecast_.end([this](const std::string& team) { return supply_for(team); });
   if (changed.empty()) return;
-  for (const auto& told : changed)
-    log_->log(
-        told.state == calendar::DeadlineForecast::State::on_time ? spdlog::level::info : spdlog::level::warn,
-        "cutoff of {} in {:.0f} s: {}", told.owner, told.cutoff - loop().wall(), told.text);
+  for (const auto& change : changed)
+    log_->log(change.state == calendar::DeadlineForecast::State::on_time ? spdlog::level::info
+                                                                         : spdlog::level::warn,
+              "cutoff of {} in {:.0f} s: {}", change.owner, change.cutoff - loop().wall(), change.text);
   for (auto& [id, job] : live_jobs_)
     if (queue_.cutoff(*job)) job->progress_dirty = true;
 }
 
-// Its guarantee, or what it holds and what is free, if that is more; beyond that what can be rented.
-calendar::DeadlineForecast::Supply Leader::supply(const std::string& team) const {
-  const auto* tenant = quota_.find_team(team);
-  if (tenant == nullptr) return {};
+// The cores that the batch tasks of a team can use: now its guarantee, or its current use plus the free cores
+// if that is more, and later what can be rented in addition.
+calendar::DeadlineForecast::Supply Leader::supply_for(const std::string& team) const {
+  const auto* team_quota = quota_.find_team(team);
+  if (team_quota == nullptr) return {};
   const auto usage = quota_.usage(team);
   double cores = 0;
   double free = 0;
@@ -44,13 +47,14 @@
     cores += state.totals.cores;
     free += state.totals.free_cores;
   }
-  const double limit = std::max(0.0, tenant->limit.cores - usage.service_cores);
-  const double own = std::max(std::min(tenant->guarantee.cores, cores), usage.total.cores + free);
-  const double now = std::min(limit, std::max(0.0, own - usage.service_cores));
-  return {now, queue_.is_overloaded() ? now : limit, planner::longest_boot_s(machine_types_)};
+  const double limit = std::max(0.0, team_quota->limit.cores - usage.service_cores);
+  const double usable_cores =
+      std::max(std::min(team_quota->guarantee.cores, cores), usage.total.cores + free);
+  const double cores_now = std::min(limit, std::max(0.0, usable_cores - usage.service_cores));
+  return {cores_now, queue_.is_overloaded() ? cores_now : limit, planner::longest_boot_s(machine_types_)};
 }
 
-// Takes no more tasks, and is returned once empty.
+// Stops placement on the machine, which is terminated once it is empty.
 void Leader::drain(Machine& machine, const std::string& reason) {
   machine.draining = true;
   machine.drain_reason = reason;
@@ -58,7 +62,7 @@
   on_gang_machine_draining(machine);
 }
 
-// Undoes it if that was the reason; says whether it was.
+// Cancels the drain if it has this reason; returns whether it did.
 bool Leader::cancel_drain(Machine& machine, const std::string& reason) {
   if (machine.drain_reason != reason) return false;
   machine.draining = false;
@@ -69,18 +73,20 @@
   return true;
 }
 
-// After a gap in which this controller answered nobody, leases that it knew to last may end.
-void Leader::note_acting() {
+// Records that this controller leads now. After a gap in which it answered no heartbeats, leases that were
+// expected to last may expire.
+void Leader::record_leading() {
   if (!lease_forecast_.record_leading(loop().now())) return;
   for (auto& [machine_id, machine] : fleet_) update_lease_forecast(machine);
 }
 
-// Nothing is started where it would be lost with the lease: the machine's heartbeat comes within seconds.
+// Excludes the machine from placement while its lease may expire before the next renewal, since tasks started
+// now would be lost with it. Its next heartbeat arrives within seconds.
 void Leader::update_lease_forecast(Machine& machine) {
-  const bool ends = !lease_forecast_.lasts_until_renewal(loop().now(), machine.answered_at);
-  if (std::exchange(machine.lease_may_end, ends) == ends) return;
+  const bool may_end = !lease_forecast_.lasts_until_renewal(loop().now(), machine.answered_at);
+  if (std::exchange(machine.lease_may_end, may_end) == may_end) return;
   fleet_.refresh(machine);
-  if (ends) {
+  if (may_end) {
     ++event_counts_["machines whose lease may end"];
     return;
   }
@@ -90,10 +96,11 @@
 
 void Leader::monitor_machines(double share) {
   const double now = loop().now();
-  uncertain_start_ = false;
-  fleet_.visit(share, [this](Machine& machine) { monitor(machine); });
-  // A direct start in doubt is made void by a new term (invariant 6).
-  if (uncertain_start_ && !raising_term_ && now - term_raised_at_ > 2 * settings_.control_interval_s) {
+  has_unknown_start_outcome_ = false;
+  fleet_.visit(share, [this](Machine& machine) { monitor_machine(machine); });
+  // A new fencing token invalidates direct start commands with an unknown outcome (invariant 6).
+  if (has_unknown_start_outcome_ && !raising_term_ &&
+      now - term_raised_at_ > 2 * settings_.control_interval_s) {
     term_raised_at_ = now;
     raising_term_ = true;
     ports_.raise_term();
@@ -102,7 +109,7 @@
   }
 }
 
-double Leader::boot_s(const Machine& machine) const {
+double Leader::usual_boot_s(const Machine& machine) const {
   const auto* type = find_machine_type(machine.machine_type);
   return type == nullptr ? cloud::kMinBillingS : type->boot_s;
 }
@@ -110,43 +117,47 @@
 MachineMonitor::Ports Leader::monitor_ports() {
   return {
       .send_probe = [this](Machine& machine) { send_command(machine, {}); },
-      .terminate = [this](Machine& machine,
-                          MachineMonitor::Fault fault) { terminate(machine, MachineMonitor::text(fault)); },
+      .terminate =
+          [this](Machine& machine, MachineMonitor::Fault fault) {
+            terminate(machine, MachineMonitor::termination_reason(fault));
+          },
       .drain = [this](Machine& machine, const std::string& reason) { drain(machine, reason); },
-      .sessions_over = [this](Machine& machine, wire::AgentEpoch next) { on_new_agent_epoch(machine, next); },
-      .lost_to_cloud =
+      .on_agent_epochs_ended = [this](Machine& machine,
+                                      wire::AgentEpoch next) { on_new_agent_epoch(machine, next); },
+      .on_presumed_reclaim =
           [this](const Machine& machine) { autoscaler_.on_machine_reclaimed(machine.machine_type); },
-      .usual_boot_s = [this](const Machine& machine) { return boot_s(machine); },
+      .usual_boot_s = [this](const Machine& machine) { return usual_boot_s(machine); },
       .count_event = [this](const std::string& event) { ++event_counts_[event]; },
       .plan_soon = [this] { plan_soon(); },
-      .place_soon = [this] { schedule_placement(); },
+      .schedule_placement = [this] { schedule_placement(); },
   };
 }
 
-void Leader::monitor(Machine& machine) {
+void Leader::monitor_machine(Machine& machine) {
   if (!machine.up) return machine_monitor_.check_boot(machine);
-  const auto silence = machine_monitor_.check_silence(machine);
-  machine_monitor_.check_heartbeats(machine, silence);
+  const auto contact = machine_monitor_.check_contact(machine);
+  machine_monitor_.check_heartbeats(machine, contact);
   update_lease_forecast(machine);
-  note_starts_in_doubt(machine);
+  check_unknown_start_outcomes(machine);
   drain_if_excess(machine);
   if (machine.draining && machine.assignments.empty() && machine.confirmed)
     return terminate(machine, machine.drain_reason);
-  if (machine.preemption_at && silence.now > *machine.preemption_at)
+  if (machine.preemption_at && contact.now > *machine.preemption_at)
     return terminate(machine, "its notice has run out");
-  if (terminate_idle(machine)) return;
-  machine_monitor_.check_given_up(machine, silence, reachability_probe_.failing());
+  if (terminate_if_idle(machine)) return;
+  machine_monitor_.check_unreachable(machine, contact, reachability_probe_.is_failing());
 }
 
-// Whether a start sent directly may still be executed there although it is to be taken back.
-void Leader::note_starts_in_doubt(const Machine& machine) {
+// Notes whether a directly sent start command may still be executed on the machine although the task must not
+// run there any more.
+void Leader::check_unknown_start_outcomes(const Machine& machine) {
   if (machine.last_contact <= machine.uncertain_start_at) return;
   const wire::FencingToken token{term_};
   for (const auto& [task, assignment] : machine.assignments)
-    uncertain_start_ =
-        uncertain_start_ || (assignment.stopping && assignment.in_flight_starts.in_doubt(token));
+    has_unknown_start_outcome_ =
+        has_unknown_start_outcome_ || (assignment.stopping && assignment.in_flight_starts.in_doubt(token));
   for (const auto& [task, exited] : machine.exited_attempts)
-    uncertain_start_ = uncertain_start_ || exited.in_flight_starts.in_doubt(token);
+    has_unknown_start_outcome_ = has_unknown_start_outcome_ || exited.in_flight_starts.in_doubt(token);
 }
 
 RentalManager::Settings Leader::rental_settings() const {
@@ -170,7 +181,7 @@
     writes_.store(wire::rental_key(name), std::nullopt, FlushDelay::garbage);
   };
   ports.on_terminating = [this](const Machine& machine) { on_gang_machine_failed(machine); };
-  ports.on_terminated = [this](const wire::MachineId& machine_id) { forget_machine(machine_id); };
+  ports.on_terminated = [this](const wire::MachineId& machine_id) { remove_machine(machine_id); };
   ports.plan_soon = [this] { plan_soon(); };
   ports.count_event = [this](const std::string& event) { ++event_counts_[event]; };
   return ports;
@@ -189,9 +200,9 @@
   ports.placeable_tasks = [this](const model::Job& job) { return placeable_tasks(job); };
   ports.is_gang = [this](const wire::JobId& id) { return gangs_.follows(id); };
   ports.core_limit = [this](const std::string& name) -> std::optional<double> {
-    const auto* owner = quota_.find_team(name);
-    if (owner == nullptr) return std::nullopt;
-    return owner->limit.cores;
+    const auto* team = quota_.find_team(name);
+    if (team == nullptr) return std::nullopt;
+    return team->limit.cores;
   };
   ports.rent_for_gangs = [this](const std::vector<planner::Offer>& offers) { rent_for_gangs(offers); };
   ports.report_core_demand = [this](double wanted, double lacking) {
@@ -205,8 +216,8 @@
   return ports;
 }
 
-// It is gone, and so is all that ran there.
-void Leader::forget_machine(const wire::MachineId& machine_id) {
+// Removes a terminated machine and all its tasks.
+void Leader::remove_machine(const wire::MachineId& machine_id) {
   autoscaler_.on_machine_terminated(machine_id);
   auto* machine = fleet_.find(machine_id);
   if (machine == nullptr) return;
--- a/src/leader/records.cpp
+++ b/src/leader/records.cpp
@@ -1,4 +1,5 @@
-// What the leader tells the write coalescer of its records (state/write_coalescer.hpp).
+// The leader's implementation of state::WriteOwner: what the write coalescer needs to know of the leader's
+// records (state/write_coalescer.hpp).
 #include <utility>
 
 #include "leader/leader.hpp"
@@ -9,19 +10,20 @@
 using state::FlushDelay;
 using wire::Json;
 
-// A key of this term's that has gone was made once more by a transaction that came late: its condition, that
-// there is none, was true again. The next leader would take it for what is.
-void Leader::drop_stray_record(const std::string& key) {
-  if (is_stray(key) && !writes_.contains(key)) writes_.store(key, std::nullopt, FlushDelay::garbage);
+// Deletes a record that was deleted in this term and then created once more by a late transaction: its
+// condition, that the key does not exist, had become true again. The next leader would take the record for
+// valid.
+void Leader::delete_recreated_record(const std::string& key) {
+  if (is_deleted_record(key) && !writes_.contains(key)) writes_.store(key, std::nullopt, FlushDelay::garbage);
 }
 
-bool Leader::is_stray(const std::string& key) const {
+bool Leader::is_deleted_record(const std::string& key) const {
   if (key.starts_with(wire::kRentalKeyPrefix + rental_manager_.name_prefix()))
     return !rental_manager_.has_rental(key.substr(wire::kRentalKeyPrefix.size()));
   return machine_groups_.is_dropped(key) || completion_bitmaps_.is_dropped(key);
 }
 
-// A value that is too large by now, stored under a larger limit, is made smaller.
+// Shrinks a value that exceeds the present limit, because it was stored under a larger one.
 state::WritePreparation Leader::prepare(const std::string& key, state::PendingWrite& write) {
   if (const auto group = storage::MachineGroups::name_of(key)) return machine_groups_.prepare(*group, write);
   if (const auto number = storage::CompletionBitmaps::number_of(key))
@@ -29,7 +31,7 @@
   if (!write.data || wire::stored_bytes(*write.data) <= writes_.value_limit())
     return state::WritePreparation::ready;
   if (key.starts_with(wire::kRentalKeyPrefix)) {
-    // Without its machines a new leader asks the cloud for them under the same name.
+    // If the record lacks its machines, a new leader queries the cloud for them under the same name.
     write.data->erase("hosts");
   } else if (key.starts_with(wire::kJobKeyPrefix)) {
     const auto record = wire::parse_job_record(*write.data);
@@ -40,34 +42,34 @@
 
 bool Leader::may_write() const { return is_active_leader(); }
 
-const Job* Leader::recorded_job(const std::string& key) const {
+const Job* Leader::find_job_by_key(const std::string& key) const {
   const auto found = jobs_.find(wire::JobId{key.substr(wire::kJobKeyPrefix.size())});
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
 wire::KeyRevision Leader::expected_revision(const std::string& key) const {
   if (!key.starts_with(wire::kJobKeyPrefix)) return cache_.revision(key);
-  const auto* found = recorded_job(key);
+  const auto* found = find_job_by_key(key);
   return found == nullptr ? wire::KeyRevision{} : found->revision;
 }
 
-// Of jobs those that are over, done by us or cancelled.
+// Final records are those of jobs that have ended, completed by this leader or cancelled.
 bool Leader::is_final(const std::string& key) const {
   if (!key.starts_with(wire::kJobKeyPrefix)) return false;
-  const auto* found = recorded_job(key);
+  const auto* found = find_job_by_key(key);
   return found == nullptr || found->has_ended();
 }
 
-// What a job's record holds is known from its phase alone (is_final).
+// The content of a job's record is not kept; its state alone tells whether it was written (is_final).
 bool Leader::holds(const std::string& key, const std::optional<Json>& data) const {
   if (key.starts_with(wire::kJobKeyPrefix)) return false;
   const auto* entry = cache_.find(key);
   return data ? entry != nullptr && entry->data == *data : entry == nullptr;
 }
 
-// A rental goes with the urgent ones: it waited ten seconds behind a site's first submissions, and every task
-// of theirs waits for the machines (lakaskalk-ops, the first half minute). So does the end of a job that
-// others wait for.
+// Rentals are urgent: one waited ten seconds behind a site's first submissions, and every task of those jobs
+// waits for the machines (lakaskalk-ops, the first half minute). The end of a job that has dependents is
+// urgent too.
 bool Leader::is_urgent(const std::string& key) const {
   if (key.starts_with(wire::kRentalKeyPrefix) || key == wire::kQuotaKey) return true;
   return key.starts_with(wire::kJobKeyPrefix) &&
@@ -76,24 +78,24 @@
 
 void Leader::apply_committed(const state::Change& change) {
   if (change.key.starts_with(wire::kJobKeyPrefix))
-    learn_job(change);
+    apply_job_change(change);
   else
     cache_.apply(change);
 }
 
 void Leader::after_commit() {
   apply_dependency_updates();
-  drop_final();
+  evict_ended_jobs();
 }
 
 void Leader::record_machine(model::Machine& machine) {
   if (std::exchange(machine.record_pending, true)) return;
-  // Invariant 4: it takes tasks only once this is committed.
+  // Invariant 4: the machine accepts tasks only after this write is committed.
   machine_groups_.add(machine, [this, machine_id = machine.id] {
     auto* found = fleet_.find(machine_id);
     if (found == nullptr) return;
     found->recorded = true;
-    // No earlier leader could use it: it needs no confirmation (invariant 5).
+    // No earlier leader can have used the machine, so it needs no confirmation (invariant 5).
     found->confirmed = found->confirmed || !found->inherited;
     fleet_.refresh(*found);
     schedule_placement();
--- a/tests/machine_monitor_test.cpp
+++ b/tests/machine_monitor_test.cpp
@@ -1,4 +1,4 @@
-// When machines are asked, passed over and given up (leader/machine_monitor.hpp).
+// Tests when machines are probed, excluded from placement and terminated (leader/machine_monitor.hpp).
 #include "leader/machine_monitor.hpp"
 
 #include <gtest/gtest.h>
@@ -26,26 +26,26 @@
  protected:
   MachineMonitorTest() {
     monitor_.begin_term();
-    monitor_.listens_from_now();
+    monitor_.restart_listening();
   }
 
-  // One that takes tasks and was heard just now.
+  // Adds a machine that accepts tasks and has just sent a heartbeat.
   Machine& add_machine(const std::string& name) {
     auto& machine = *fleet_.add(wire::MachineId{name}).first;
     machine.zone = "zone-a";
     machine.up = machine.recorded = machine.confirmed = true;
     machine.first_seen = loop_.now();
-    hear(machine);
+    receive_heartbeat(machine);
     return machine;
   }
-  Machine& add_booting(const std::string& name) {
+  Machine& add_booting_machine(const std::string& name) {
     auto& machine = *fleet_.add(wire::MachineId{name}).first;
     machine.first_seen = loop_.now();
     fleet_.refresh(machine);
     return machine;
   }
-  // A heartbeat that is answered.
-  void hear(Machine& machine) {
+  // Simulates a heartbeat that is answered.
+  void receive_heartbeat(Machine& machine) {
     machine.last_contact = machine.last_heartbeat_received_at = machine.last_heartbeat_applied_at =
         loop_.now();
     machine.lease.record_renewal(loop_.now());
@@ -53,7 +53,7 @@
     machine.overdue = machine.lease_expired = false;
     fleet_.refresh(machine);
   }
-  void bind_service(Machine& machine) {
+  void assign_service(Machine& machine) {
     machine.service_cores = 1;
     machine.assignments[{wire::JobId{"job"}, 0}].is_service = true;
   }
@@ -62,13 +62,15 @@
     machine.downlink.probe_ended(loop_.now(), monitor_.timing(), false);
     fleet_.refresh(machine);
   }
-  void check(Machine& machine, bool reachability_in_doubt = false) {
-    const auto silence = monitor_.check_silence(machine);
-    monitor_.check_heartbeats(machine, silence);
-    monitor_.check_given_up(machine, silence, reachability_in_doubt);
+  void check(Machine& machine, bool reachability_uncertain = false) {
+    const auto contact = monitor_.check_contact(machine);
+    monitor_.check_heartbeats(machine, contact);
+    monitor_.check_unreachable(machine, contact, reachability_uncertain);
+  }
+  // Sets the number of consecutive probes that stayed unanswered.
+  void set_unanswered_probes(Machine& machine, std::uint32_t probes = 2) {
+    machine.probes_unanswered = probes;
   }
-  // A control interval's probe that stays unanswered.
-  void leave_unanswered(Machine& machine, std::uint32_t probes = 2) { machine.probes_unanswered = probes; }
   using Terminated = std::vector<std::pair<std::string, Fault>>;
 
   test_support::ManualLoop loop_;
@@ -76,8 +78,8 @@
   std::vector<std::string> probes_;
   Terminated terminated_;
   std::vector<std::string> drained_;
-  std::vector<std::pair<std::string, std::uint64_t>> sessions_over_;
-  std::vector<std::string> lost_to_cloud_;
+  std::vector<std::pair<std::string, std::uint64_t>> ended_epochs_;
+  std::vector<std::string> presumed_reclaims_;
   std::map<std::string, int> events_;
   int plans_ = 0;
   int placements_ = 0;
@@ -102,21 +104,22 @@
              machine.draining = true;
              drained_.push_back(reason);
            },
-       .sessions_over =
+       .on_agent_epochs_ended =
            [this](Machine& machine, wire::AgentEpoch next) {
-             sessions_over_.emplace_back(machine.id.value, next.value);
+             ended_epochs_.emplace_back(machine.id.value, next.value);
            },
-       .lost_to_cloud = [this](const Machine& machine) { lost_to_cloud_.push_back(machine.id.value); },
+       .on_presumed_reclaim =
+           [this](const Machine& machine) { presumed_reclaims_.push_back(machine.id.value); },
        .usual_boot_s = [](const Machine&) { return kUsualBootS; },
        .count_event = [this](const std::string& event) { ++events_[event]; },
        .plan_soon = [this] { ++plans_; },
-       .place_soon = [this] { ++placements_; }}};
+       .schedule_placement = [this] { ++placements_; }}};
 };
 
 // Boots.
 
-TEST_F(MachineMonitorTest, ALateBootIsNoLongerCountedOnAndIsGivenUpInTheEnd) {
-  auto& machine = add_booting("a");
+TEST_F(MachineMonitorTest, SlowBootBecomesOverdueAndIsTerminatedInTheEnd) {
+  auto& machine = add_booting_machine("a");
   loop_.pass(1.6 * kUsualBootS);
   monitor_.check_boot(machine);
   EXPECT_FALSE(machine.boot_overdue);
@@ -136,7 +139,7 @@
 
 // Heartbeats.
 
-TEST_F(MachineMonitorTest, AnOverdueHeartbeatLeadsToAProbeEachControlInterval) {
+TEST_F(MachineMonitorTest, OverdueHeartbeatCausesAProbeEachControlInterval) {
   auto& machine = add_machine("a");
   loop_.pass(5);
   check(machine);
@@ -155,56 +158,56 @@
   EXPECT_EQ(probes_.size(), 2U);
 }
 
-TEST_F(MachineMonitorTest, AMachineWithServicesIsAskedBetweenTwoHeartbeats) {
+TEST_F(MachineMonitorTest, MachineWithServicesIsProbedBetweenTwoHeartbeats) {
   auto& machine = add_machine("a");
-  bind_service(machine);
+  assign_service(machine);
   loop_.pass(1.75);
   check(machine);
   EXPECT_EQ(probes_.size(), 1U);
   EXPECT_FALSE(machine.overdue);
-  leave_unanswered(machine, 1);
+  set_unanswered_probes(machine, 1);
   check(machine);
   EXPECT_TRUE(machine.overdue);
 }
 
-TEST_F(MachineMonitorTest, NothingIsStartedWhereHeartbeatsAreOverdueUntilTheyComeAgain) {
+TEST_F(MachineMonitorTest, MachineWithOverdueHeartbeatsTakesNoTasksUntilTheyResume) {
   auto& machine = add_machine("a");
   ASSERT_TRUE(machine.takes_tasks());
   loop_.pass(18.25);
-  machine.last_contact = loop_.now();  // it answers probes
+  machine.last_contact = loop_.now();  // The machine answers probes.
   check(machine);
   EXPECT_EQ(machine.uplink, model::UplinkState::overdue);
   EXPECT_FALSE(machine.takes_tasks());
   EXPECT_EQ(std::pair(plans_, placements_), std::pair(1, 1));
   machine.last_heartbeat_received_at = loop_.now();
-  monitor_.update_reporting(machine);
+  monitor_.update_uplink(machine);
   EXPECT_EQ(machine.uplink, model::UplinkState::up);
-  EXPECT_EQ(machine.idle_since, loop_.now());  // it is not returned as idle at once
+  EXPECT_EQ(machine.idle_since, loop_.now());  // The machine is not terminated as idle at once.
   EXPECT_EQ(std::pair(plans_, placements_), std::pair(2, 2));
 }
 
-TEST_F(MachineMonitorTest, HeartbeatsMissedWhileNoneCouldBeTakenTellNothing) {
+TEST_F(MachineMonitorTest, HeartbeatsMissedWhileNotListeningAreIgnored) {
   auto& machine = add_machine("a");
   loop_.pass(18.25);
-  monitor_.listens_from_now();
-  monitor_.update_reporting(machine);
+  monitor_.restart_listening();
+  monitor_.update_uplink(machine);
   EXPECT_EQ(machine.uplink, model::UplinkState::up);
   loop_.pass(18.25);
-  monitor_.update_reporting(machine);
+  monitor_.update_uplink(machine);
   EXPECT_EQ(machine.uplink, model::UplinkState::overdue);
 }
 
-TEST_F(MachineMonitorTest, HeartbeatsMissedInAnEarlierTermTellNothing) {
+TEST_F(MachineMonitorTest, HeartbeatsMissedInAnEarlierTermAreIgnored) {
   auto& machine = add_machine("a");
   loop_.pass(18.25);
   monitor_.begin_term();
-  monitor_.update_reporting(machine);
+  monitor_.update_uplink(machine);
   EXPECT_EQ(machine.uplink, model::UplinkState::up);
 }
 
 // The lease.
 
-TEST_F(MachineMonitorTest, AnExpiredLeaseEndsTheSessionOnce) {
+TEST_F(MachineMonitorTest, ExpiredLeaseEndsTheAgentEpochOnce) {
   auto& machine = add_machine("a");
   machine.agent_epoch.value = 7;
   machine.last_sequence = machine.heartbeat_sequence = 100;
@@ -215,7 +218,7 @@
   check(machine);
   check(machine);
   EXPECT_TRUE(machine.lease_expired);
-  EXPECT_EQ(sessions_over_, (std::vector<std::pair<std::string, std::uint64_t>>{{"a", 8}}));
+  EXPECT_EQ(ended_epochs_, (std::vector<std::pair<std::string, std::uint64_t>>{{"a", 8}}));
   EXPECT_EQ(machine.agent_epoch.value, 8U);
   EXPECT_EQ(machine.last_sequence, 0U);
   EXPECT_EQ(machine.heartbeat_sequence, 0U);
@@ -223,7 +226,7 @@
 }
 
 // Invariant 5.
-TEST_F(MachineMonitorTest, AnUnconfirmedMachineWithAnExpiredLeaseIsConfirmedAndDrained) {
+TEST_F(MachineMonitorTest, UnconfirmedMachineWithExpiredLeaseIsConfirmedAndDrained) {
   auto& machine = add_machine("a");
   machine.inherited = true;
   machine.confirmed = false;
@@ -234,94 +237,95 @@
   EXPECT_EQ(fleet_.total().unconfirmed, 0U);
 }
 
-// Silent machines.
+// Unreachable machines.
 
-TEST_F(MachineMonitorTest, ASilentMachineIsGivenUpAfterTwoUnansweredProbes) {
+TEST_F(MachineMonitorTest, UnreachableMachineIsTerminatedAfterTwoUnansweredProbes) {
   auto& machine = add_machine("a");
   add_machine("b");
   loop_.pass(9.25);
-  monitor_.note_direct_contact();
-  leave_unanswered(machine, 1);
+  monitor_.record_direct_contact();
+  set_unanswered_probes(machine, 1);
   check(machine);
   EXPECT_TRUE(terminated_.empty());
-  leave_unanswered(machine, 2);
+  set_unanswered_probes(machine, 2);
   check(machine);
-  EXPECT_EQ(terminated_, (Terminated{{"a", Fault::silent}}));
-  EXPECT_TRUE(lost_to_cloud_.empty());
+  EXPECT_EQ(terminated_, (Terminated{{"a", Fault::unreachable}}));
+  EXPECT_TRUE(presumed_reclaims_.empty());
 }
 
-TEST_F(MachineMonitorTest, ASilentMachineIsNotGivenUpBeforeItsTime) {
+TEST_F(MachineMonitorTest, UnreachableMachineIsNotTerminatedBeforeTheTimeout) {
   auto& machine = add_machine("a");
   add_machine("b");
   loop_.pass(9);
-  monitor_.note_direct_contact();
-  leave_unanswered(machine);
+  monitor_.record_direct_contact();
+  set_unanswered_probes(machine);
   check(machine);
   EXPECT_TRUE(terminated_.empty());
 }
 
-TEST_F(MachineMonitorTest, ASilentMachineWithServicesIsGivenUpSooner) {
+TEST_F(MachineMonitorTest, UnreachableMachineWithServicesIsTerminatedSooner) {
   auto& machine = add_machine("a");
-  bind_service(machine);
+  assign_service(machine);
   add_machine("b");
   loop_.pass(6.25);
-  monitor_.note_direct_contact();
-  leave_unanswered(machine);
+  monitor_.record_direct_contact();
+  set_unanswered_probes(machine);
   check(machine);
-  EXPECT_EQ(terminated_, (Terminated{{"a", Fault::silent}}));
+  EXPECT_EQ(terminated_, (Terminated{{"a", Fault::unreachable}}));
 }
 
-// The fault may be this controller's.
-TEST_F(MachineMonitorTest, ASilentMachineStaysForALeaseWhenNoOtherIsHeardEither) {
+// The fault may lie with this controller.
+TEST_F(MachineMonitorTest, UnreachableMachineIsKeptForALeaseWithoutContactToOthers) {
   auto& machine = add_machine("a");
   add_machine("b");
   loop_.pass(4);
-  monitor_.note_direct_contact();  // less than half of what it is waited for since it was heard
+  // Less than half of the time allowed for the machine has passed since its last contact.
+  monitor_.record_direct_contact();
   loop_.pass(kLeaseS - 4.25);
-  leave_unanswered(machine);
+  set_unanswered_probes(machine);
   check(machine);
   EXPECT_TRUE(terminated_.empty());
   loop_.pass(0.25);
   check(machine);
-  EXPECT_EQ(terminated_, (Terminated{{"a", Fault::silent}}));
+  EXPECT_EQ(terminated_, (Terminated{{"a", Fault::unreachable}}));
 }
 
-TEST_F(MachineMonitorTest, TheOnlyMachineNeedsNoOtherThatIsHeard) {
+TEST_F(MachineMonitorTest, OnlyMachineIsTerminatedWithoutContactToOthers) {
   auto& machine = add_machine("a");
   loop_.pass(9.25);
-  leave_unanswered(machine);
+  set_unanswered_probes(machine);
   check(machine);
-  EXPECT_EQ(terminated_, (Terminated{{"a", Fault::silent}}));
+  EXPECT_EQ(terminated_, (Terminated{{"a", Fault::unreachable}}));
 }
 
-TEST_F(MachineMonitorTest, ASilentMachineStaysForALeaseWhileReachabilityIsInDoubt) {
+TEST_F(MachineMonitorTest, UnreachableMachineIsKeptForALeaseWhileReachabilityIsUncertain) {
   auto& machine = add_machine("a");
   add_machine("b");
   loop_.pass(kLeaseS - 0.25);
-  monitor_.note_direct_contact();
-  leave_unanswered(machine);
+  monitor_.record_direct_contact();
+  set_unanswered_probes(machine);
   check(machine, true);
   EXPECT_TRUE(terminated_.empty());
   loop_.pass(0.25);
   check(machine, true);
-  EXPECT_EQ(terminated_, (Terminated{{"a", Fault::silent}}));
+  EXPECT_EQ(terminated_, (Terminated{{"a", Fault::unreachable}}));
 }
 
-TEST_F(MachineMonitorTest, ManySilentMachinesOfAZoneStayForALease) {
-  std::vector<Machine*> silent;
-  for (int i = 0; i < 3; ++i) silent.push_back(&add_machine("silent-" + std::to_string(i)));
-  std::vector<Machine*> heard;
-  for (int i = 0; i < 4; ++i) heard.push_back(&add_machine("heard-" + std::to_string(i)));
+TEST_F(MachineMonitorTest, ManyUnreachableMachinesOfAZoneAreKeptForALease) {
+  std::vector<Machine*> unreachable;
+  for (int i = 0; i < 3; ++i) unreachable.push_back(&add_machine("silent-" + std::to_string(i)));
+  std::vector<Machine*> in_contact;
+  for (int i = 0; i < 4; ++i) in_contact.push_back(&add_machine("heard-" + std::to_string(i)));
   const auto check_all = [&] {
-    for (auto* machine : heard) hear(*machine);
-    monitor_.note_direct_contact();
-    for (auto* machine : silent) {
-      leave_unanswered(*machine);
+    for (auto* machine : in_contact) receive_heartbeat(*machine);
+    monitor_.record_direct_contact();
+    for (auto* machine : unreachable) {
+      set_unanswered_probes(*machine);
       check(*machine);
     }
   };
   loop_.pass(6);
-  check_all();  // counted as silent from here on: 3 of 7 are more than two fifths
+  check_all();  // From here on the three count as overdue: 3 of 7 machines are more than two fifths.
   loop_.pass(kLeaseS - 6.25);
   check_all();
   EXPECT_TRUE(terminated_.empty());
@@ -330,79 +334,81 @@
   EXPECT_EQ(terminated_.size(), 3U);
 }
 
-TEST_F(MachineMonitorTest, AFewSilentMachinesOfAZoneAreGivenUpAtOnce) {
-  std::vector<Machine*> silent;
-  for (int i = 0; i < 2; ++i) silent.push_back(&add_machine("silent-" + std::to_string(i)));
-  for (int i = 0; i < 3; ++i) add_machine("heard-" + std::to_string(i));  // 2 of 5 are not more
+TEST_F(MachineMonitorTest, FewUnreachableMachinesOfAZoneAreTerminatedAtOnce) {
+  std::vector<Machine*> unreachable;
+  for (int i = 0; i < 2; ++i) unreachable.push_back(&add_machine("silent-" + std::to_string(i)));
+  // 2 of 5 machines are not more than two fifths.
+  for (int i = 0; i < 3; ++i) add_machine("heard-" + std::to_string(i));
   loop_.pass(9.25);
-  monitor_.note_direct_contact();
-  for (auto* machine : silent) leave_unanswered(*machine);
-  for (auto* machine : silent) check(*machine);
+  monitor_.record_direct_contact();
+  for (auto* machine : unreachable) set_unanswered_probes(*machine);
+  for (auto* machine : unreachable) check(*machine);
   EXPECT_EQ(terminated_.size(), 2U);
 }
 
-TEST_F(MachineMonitorTest, ASilentPreemptibleMachineCountsAsTakenByTheCloud) {
+TEST_F(MachineMonitorTest, UnreachablePreemptibleMachineCountsAsReclaimedByTheCloud) {
   auto& machine = add_machine("a");
   machine.preemptible = true;
-  auto& warned = add_machine("b");
-  warned.preemptible = true;
-  warned.preemption_at = loop_.now() + 100;  // counted when its notice came
+  auto& with_notice = add_machine("b");
+  with_notice.preemptible = true;
+  // A machine with a preemption notice was counted when the notice arrived.
+  with_notice.preemption_at = loop_.now() + 100;
   for (int i = 0; i < 4; ++i) add_machine("heard-" + std::to_string(i));
   loop_.pass(9.25);
-  monitor_.note_direct_contact();
-  for (auto* each : {&machine, &warned}) leave_unanswered(*each);
-  for (auto* each : {&machine, &warned}) check(*each);
+  monitor_.record_direct_contact();
+  for (auto* each : {&machine, &with_notice}) set_unanswered_probes(*each);
+  for (auto* each : {&machine, &with_notice}) check(*each);
   check(machine);
   EXPECT_EQ(terminated_.size(), 2U);
-  EXPECT_EQ(lost_to_cloud_, std::vector<std::string>{"a"});
+  EXPECT_EQ(presumed_reclaims_, std::vector<std::string>{"a"});
 }
 
-// It holds up others' tasks.
-TEST_F(MachineMonitorTest, AMachineNeverHeardInThisTermIsWaitedForLessLong) {
+// Tasks of other machines wait until such a machine is confirmed or terminated.
+TEST_F(MachineMonitorTest, MachineWithoutContactInThisTermIsTerminatedSooner) {
   auto& machine = add_machine("a");
   add_machine("b");
   machine.inherited = true;
   machine.confirmed = false;
   machine.last_probe = loop_.now();
   loop_.pass(1.5);
-  leave_unanswered(machine, 1);
+  set_unanswered_probes(machine, 1);
   check(machine);
   EXPECT_TRUE(probes_.empty());
   loop_.pass(0.25);
   check(machine);
   EXPECT_EQ(probes_.size(), 1U);
-  leave_unanswered(machine);
+  set_unanswered_probes(machine);
   loop_.pass(2.75);
   check(machine);
   EXPECT_TRUE(terminated_.empty());
   loop_.pass(0.25);
   check(machine);
-  EXPECT_EQ(terminated_, (Terminated{{"a", Fault::silent}}));
+  EXPECT_EQ(terminated_, (Terminated{{"a", Fault::unreachable}}));
 }
 
 // One-way links.
 
-TEST_F(MachineMonitorTest, AMachineWithALostDownlinkIsAskedAndReturnedAfterTwoLeases) {
+TEST_F(MachineMonitorTest, MachineWithLostDownlinkIsProbedAndTerminatedAfterTwoLeases) {
   auto& machine = add_machine("a");
   add_machine("b");
   lose_downlink(machine);
-  hear(machine);
+  receive_heartbeat(machine);
   loop_.pass(2 * kLeaseS);
-  hear(machine);
+  receive_heartbeat(machine);
   check(machine);
   EXPECT_EQ(probes_.size(), 1U);
   EXPECT_TRUE(terminated_.empty());
   loop_.pass(0.25);
-  hear(machine);
+  receive_heartbeat(machine);
   check(machine);
   EXPECT_EQ(terminated_, (Terminated{{"a", Fault::downlink_lost}}));
 }
 
-TEST_F(MachineMonitorTest, AMachineWithALostUplinkIsReturnedAfterTwoLeases) {
+TEST_F(MachineMonitorTest, MachineWithLostUplinkIsTerminatedAfterTwoLeases) {
   auto& machine = add_machine("a");
   add_machine("b");
   loop_.pass(2 * kLeaseS);
-  machine.last_contact = loop_.now();  // it answers probes
+  machine.last_contact = loop_.now();  // The machine answers probes.
   check(machine);
   EXPECT_TRUE(terminated_.empty());
   loop_.pass(0.25);
@@ -411,13 +417,13 @@
   EXPECT_EQ(terminated_, (Terminated{{"a", Fault::uplink_lost}}));
 }
 
-// As long as something is bound there it hears after all.
-TEST_F(MachineMonitorTest, AMachineWithALostLinkKeepsWhatRunsThere) {
+// While tasks are assigned to the machine, some commands still reach it.
+TEST_F(MachineMonitorTest, MachineWithLostLinkIsKeptWhileTasksAreAssigned) {
   auto& machine = add_machine("a");
-  bind_service(machine);
+  assign_service(machine);
   lose_downlink(machine);
   loop_.pass(2 * kLeaseS + 0.25);
-  hear(machine);
+  receive_heartbeat(machine);
   check(machine);
   EXPECT_TRUE(terminated_.empty());
   machine.assignments.clear();
@@ -425,43 +431,43 @@
   EXPECT_EQ(terminated_, (Terminated{{"a", Fault::downlink_lost}}));
 }
 
-TEST_F(MachineMonitorTest, ManyMachinesOfAZoneWithLostLinksStay) {
+TEST_F(MachineMonitorTest, ManyMachinesOfAZoneWithLostLinksAreKept) {
   std::vector<Machine*> machines;
   for (int i = 0; i < 3; ++i) machines.push_back(&add_machine(std::to_string(i)));
   lose_downlink(*machines[0]);
   lose_downlink(*machines[1]);
   loop_.pass(2 * kLeaseS + 0.25);
-  for (auto* machine : machines) hear(*machine);
+  for (auto* machine : machines) receive_heartbeat(*machine);
   for (auto* machine : machines) check(*machine);
   EXPECT_TRUE(terminated_.empty());
 }
 
-TEST_F(MachineMonitorTest, ChangesOfTheDownlinkAreCountedAndPlannedFor) {
+TEST_F(MachineMonitorTest, DownlinkChangesAreCountedAndTriggerPlanning) {
   auto& machine = add_machine("a");
   auto before = machine.downlink.state();
-  monitor_.downlink_changed(machine, before);  // no change
+  monitor_.on_downlink_changed(machine, before);  // The state has not changed.
   EXPECT_TRUE(events_.empty());
   machine.downlink.command_unanswered(loop_.now());
-  monitor_.downlink_changed(machine, std::exchange(before, machine.downlink.state()));
+  monitor_.on_downlink_changed(machine, std::exchange(before, machine.downlink.state()));
   EXPECT_EQ(events_["machines asked whether they hear"], 1);
   EXPECT_EQ(std::pair(plans_, placements_), std::pair(0, 0));
   machine.downlink.probe_ended(loop_.now(), monitor_.timing(), false);
-  monitor_.downlink_changed(machine, std::exchange(before, machine.downlink.state()));
+  monitor_.on_downlink_changed(machine, std::exchange(before, machine.downlink.state()));
   EXPECT_EQ(events_["deaf machines"], 1);
   EXPECT_EQ(std::pair(plans_, placements_), std::pair(1, 0));
   loop_.pass(10);
   machine.downlink.probe_ended(loop_.now(), monitor_.timing(), true);
-  monitor_.downlink_changed(machine, std::exchange(before, machine.downlink.state()));
+  monitor_.on_downlink_changed(machine, std::exchange(before, machine.downlink.state()));
   EXPECT_EQ(events_["deaf machines that hear again"], 1);
   EXPECT_EQ(std::pair(plans_, placements_), std::pair(1, 1));
   EXPECT_EQ(machine.idle_since, loop_.now());
 }
 
-TEST(MachineMonitorFault, IsNamedInTheLogAsBefore) {
-  EXPECT_STREQ(MachineMonitor::text(Fault::never_booted), "never came up");
-  EXPECT_STREQ(MachineMonitor::text(Fault::silent), "silent");
-  EXPECT_STREQ(MachineMonitor::text(Fault::downlink_lost), "deaf");
-  EXPECT_STREQ(MachineMonitor::text(Fault::uplink_lost), "mute");
+TEST(MachineMonitorFault, HasAReasonForTheLog) {
+  EXPECT_STREQ(MachineMonitor::termination_reason(Fault::never_booted), "never came up");
+  EXPECT_STREQ(MachineMonitor::termination_reason(Fault::unreachable), "silent");
+  EXPECT_STREQ(MachineMonitor::termination_reason(Fault::downlink_lost), "deaf");
+  EXPECT_STREQ(MachineMonitor::termination_reason(Fault::uplink_lost), "mute");
 }
 
 }  // namespace
--- a/tests/reachability_probe_test.cpp
+++ b/tests/reachability_probe_test.cpp
@@ -1,4 +1,4 @@
-// When a leader gives way because it reaches too few machines (leader/reachability_probe.hpp).
+// Tests when a leader resigns because it reaches too few machines (leader/reachability_probe.hpp).
 #include "leader/reachability_probe.hpp"
 
 #include <gtest/gtest.h>
@@ -31,21 +31,21 @@
       machines_[machine_id] = {.last_heartbeat_at = loop_.now()};
     }
   }
-  // Enough of it within one control interval.
-  void suspect() {
-    for (int i = 0; i < 3; ++i) probe_.note_suspicion();
+  // Records as many suspicions as cause a sample.
+  void record_suspicions() {
+    for (int i = 0; i < 3; ++i) probe_.record_suspicion();
   }
   void tick() { probe_.tick(term_began_at_); }
-  // What the leader would do: time passes, suspicion stays, a sample is sent when one is due.
+  // Lets time pass, records suspicions and ticks as the leader would; returns whether a sample was sent.
   bool sample_after(double seconds) {
     loop_.pass(seconds);
     tick();
-    suspect();
+    record_suspicions();
     tick();
     return !requests_.empty();
   }
-  // Ends the requests under way; those of the first `unanswered` machines stay unanswered, whose state is
-  // made by `change`.
+  // Completes the requests in flight. The first `unanswered` machines count as not having answered; `change`
+  // sets their further state.
   void finish_sample(std::size_t unanswered, const std::function<void(MachineState&)>& change = {}) {
     auto requests = std::exchange(requests_, {});
     for (std::size_t i = 0; i < requests.size(); ++i) {
@@ -63,7 +63,7 @@
   std::map<wire::MachineId, MachineState> machines_;
   std::vector<Request> requests_;
   double term_began_at_ = 0;
-  bool peer_heard_ = true;
+  bool peer_contact_ = true;
   int resignations_ = 0;
   ReachabilityProbe probe_{loop_,
                            std::make_shared<spdlog::logger>("test"),
@@ -81,10 +81,10 @@
                               const auto found = machines_.find(machine_id);
                               return found == machines_.end() ? std::nullopt : std::optional(found->second);
                             },
-                            [this] { return peer_heard_; }, [this] { ++resignations_; }}};
+                            [this] { return peer_contact_; }, [this] { ++resignations_; }}};
 };
 
-TEST_F(ReachabilityProbeTest, ProbesNobodyWithoutASuspicion) {
+TEST_F(ReachabilityProbeTest, SendsNoProbesWithoutASuspicion) {
   add_machines(10);
   for (int i = 0; i < 100; ++i) {
     loop_.pass(0.25);
@@ -96,65 +96,66 @@
 TEST_F(ReachabilityProbeTest, ThreeSuspicionsWithinAControlIntervalStartASample) {
   add_machines(10);
   tick();
-  probe_.note_suspicion();
-  probe_.note_suspicion();
+  probe_.record_suspicion();
+  probe_.record_suspicion();
   tick();
   EXPECT_TRUE(requests_.empty());
-  loop_.pass(3);  // those two are forgotten
+  loop_.pass(3);  // The first two suspicions expire.
   tick();
-  probe_.note_suspicion();
+  probe_.record_suspicion();
   tick();
   EXPECT_TRUE(requests_.empty());
-  probe_.note_suspicion();
-  probe_.note_suspicion();
+  probe_.record_suspicion();
+  probe_.record_suspicion();
   tick();
   EXPECT_EQ(requests_.size(), 10U);
 }
 
-TEST_F(ReachabilityProbeTest, ALeaderThatHearsNoPeerProbesWithoutASuspicion) {
+TEST_F(ReachabilityProbeTest, LeaderWithoutPeerContactProbesWithoutASuspicion) {
   add_machines(10);
-  peer_heard_ = false;
+  peer_contact_ = false;
   tick();
   EXPECT_EQ(requests_.size(), 10U);
 }
 
-TEST_F(ReachabilityProbeTest, AsksAtMostFortyEightMachinesEachOnce) {
+TEST_F(ReachabilityProbeTest, ProbesAtMostFortyEightMachinesOnceEach) {
   add_machines(500);
   ASSERT_TRUE(sample_after(0));
-  std::set<wire::MachineId> asked;
-  for (const auto& request : requests_) asked.insert(request.machine_id);
+  std::set<wire::MachineId> probed;
+  for (const auto& request : requests_) probed.insert(request.machine_id);
   EXPECT_EQ(requests_.size(), 48U);
-  EXPECT_EQ(asked.size(), 48U);
+  EXPECT_EQ(probed.size(), 48U);
 }
 
 TEST_F(ReachabilityProbeTest, ThreeMachinesAreTooFewForASample) {
   add_machines(3);
   EXPECT_FALSE(sample_after(0));
   add_machines(4);
-  EXPECT_FALSE(sample_after(5.75));  // the failed attempt counts as one
+  // The attempt with too few machines also starts the interval between samples.
+  EXPECT_FALSE(sample_after(5.75));
   EXPECT_TRUE(sample_after(0.25));
 }
 
-TEST_F(ReachabilityProbeTest, TheOnlyControllerProbesNobody) {
+TEST_F(ReachabilityProbeTest, SingleControllerSendsNoProbes) {
   ReachabilityProbe alone{loop_, std::make_shared<spdlog::logger>("test"), {40, 3, 3, 1}, {}};
-  for (int i = 0; i < 3; ++i) alone.note_suspicion();
-  alone.tick(0);  // would call a port that is not there
-  EXPECT_FALSE(alone.failing());
+  for (int i = 0; i < 3; ++i) alone.record_suspicion();
+  alone.tick(0);  // A sample would call an empty port.
+  EXPECT_FALSE(alone.is_failing());
 }
 
-TEST_F(ReachabilityProbeTest, HalfALeaseOfItsTermPassesBeforeTheFirstSample) {
+TEST_F(ReachabilityProbeTest, FirstSampleIsTakenHalfALeaseIntoTheTerm) {
   add_machines(10);
   term_began_at_ = loop_.now();
   EXPECT_FALSE(sample_after(19.75));
   EXPECT_TRUE(sample_after(0.25));
 }
 
-TEST_F(ReachabilityProbeTest, OneSampleIsUnderWayAtATimeAndTwoAreApart) {
+TEST_F(ReachabilityProbeTest, SamplesDoNotOverlapAndAreSpacedApart) {
   add_machines(10);
   ASSERT_TRUE(sample_after(0));
   EXPECT_EQ(requests_.size(), 10U);
   sample_after(100);
-  EXPECT_EQ(requests_.size(), 10U);  // still the same
+  EXPECT_EQ(requests_.size(), 10U);  // The same sample is still in progress.
   finish_sample(0);
   ASSERT_TRUE(sample_after(0));
   finish_sample(0);
@@ -166,21 +167,21 @@
   add_machines(10);
   ASSERT_TRUE(sample_after(0));
   finish_sample(5);
-  EXPECT_FALSE(probe_.failing());
+  EXPECT_FALSE(probe_.is_failing());
   ASSERT_TRUE(sample_after(6));
   finish_sample(6);
-  EXPECT_TRUE(probe_.failing());
+  EXPECT_TRUE(probe_.is_failing());
   EXPECT_EQ(resignations_, 0);
 }
 
-TEST_F(ReachabilityProbeTest, ASampleThatSucceedsEndsTheFailure) {
+TEST_F(ReachabilityProbeTest, SuccessfulSampleEndsTheFailure) {
   add_machines(10);
   ASSERT_TRUE(sample_after(0));
   finish_sample(10);
-  ASSERT_TRUE(probe_.failing());
+  ASSERT_TRUE(probe_.is_failing());
   ASSERT_TRUE(sample_after(6));
   finish_sample(0);
-  EXPECT_FALSE(probe_.failing());
+  EXPECT_FALSE(probe_.is_failing());
 }
 
 TEST_F(ReachabilityProbeTest, MachinesNoLongerKnownCountAsAnswered) {
@@ -189,15 +190,15 @@
   const auto requests = std::exchange(requests_, {});
   machines_.clear();
   for (const auto& request : requests) request.done();
-  EXPECT_FALSE(probe_.failing());
+  EXPECT_FALSE(probe_.is_failing());
 }
 
-// One-way partition of this controller: peers' responses arrive.
-TEST_F(ReachabilityProbeTest, ResignsWhenTheMachinesHearItsPeers) {
+// One-way partition of this controller: the responses of peers reach the machines.
+TEST_F(ReachabilityProbeTest, ResignsWhenMachinesReceiveResponsesFromPeers) {
   add_machines(10);
   ASSERT_TRUE(sample_after(0));
   finish_sample(10);
-  EXPECT_EQ(resignations_, 0);  // whose fault it is, is not known
+  EXPECT_EQ(resignations_, 0);  // It is not known yet which side is at fault.
   ASSERT_TRUE(sample_after(1.5));
   all_send_heartbeats();
   finish_sample(10, [this](MachineState& state) { state.peer_response_arrived_at = loop_.now(); });
@@ -205,7 +206,7 @@
 }
 
 // The machines have lost their downlink: another leader would reach no more of them.
-TEST_F(ReachabilityProbeTest, StaysWhenTheMachinesHearItsPeersNoMoreThanItself) {
+TEST_F(ReachabilityProbeTest, KeepsLeadershipWhenMachinesLoseResponsesFromPeersToo) {
   add_machines(10);
   ASSERT_TRUE(sample_after(0));
   finish_sample(10);
@@ -213,10 +214,10 @@
   all_send_heartbeats();
   finish_sample(10, [this](MachineState& state) { state.peer_response_lost_at = loop_.now(); });
   EXPECT_EQ(resignations_, 0);
-  EXPECT_TRUE(probe_.failing());
+  EXPECT_TRUE(probe_.is_failing());
 }
 
-TEST_F(ReachabilityProbeTest, EvidenceFromBeforeTheFailureTellsNothing) {
+TEST_F(ReachabilityProbeTest, EvidenceFromBeforeTheFailureIsIgnored) {
   add_machines(10);
   const double before = loop_.now() - 1;
   ASSERT_TRUE(sample_after(0));
@@ -227,60 +228,61 @@
   EXPECT_EQ(resignations_, 0);
 }
 
-TEST_F(ReachabilityProbeTest, AQuarterOfThoseUnansweredIsEvidenceEnough) {
+TEST_F(ReachabilityProbeTest, EvidenceFromAQuarterOfUnansweredMachinesSuffices) {
   add_machines(12);
   ASSERT_TRUE(sample_after(0));
   finish_sample(12);
-  int told = 0;
-  const auto tell = [&](int most) {
-    told = 0;
+  int with_evidence = 0;
+  const auto finish_with_evidence = [&](int evidence_count) {
+    with_evidence = 0;
     all_send_heartbeats();
-    finish_sample(12, [&, most](MachineState& state) {
-      state.peer_response_arrived_at = told++ < most ? loop_.now() : 0;
+    finish_sample(12, [&, evidence_count](MachineState& state) {
+      state.peer_response_arrived_at = with_evidence++ < evidence_count ? loop_.now() : 0;
     });
   };
   ASSERT_TRUE(sample_after(1.5));
-  tell(2);
+  finish_with_evidence(2);
   EXPECT_EQ(resignations_, 0);
   ASSERT_TRUE(sample_after(1.5));
-  tell(3);
+  finish_with_evidence(3);
   EXPECT_EQ(resignations_, 1);
 }
 
-TEST_F(ReachabilityProbeTest, AsksAgainSoonForEvidenceAndResignsWithoutAnyInTheEnd) {
+TEST_F(ReachabilityProbeTest, SamplesSoonAgainForEvidenceAndResignsWithoutAnyInTheEnd) {
   add_machines(10);
   ASSERT_TRUE(sample_after(0));
   finish_sample(10);
-  double waited = 0;
+  double waited_s = 0;
   while (resignations_ == 0) {
     ASSERT_FALSE(sample_after(1.25));
     ASSERT_TRUE(sample_after(0.25));
-    waited += 1.5;
-    ASSERT_LE(waited, 15);
+    waited_s += 1.5;
+    ASSERT_LE(waited_s, 15);
     all_send_heartbeats();
     finish_sample(10);
   }
-  EXPECT_EQ(waited, 15);  // 3.5 waits of a worker for a response, of 4 s, at the next sample
+  // 3.5 times the 4 s for which an agent waits for a response, rounded up to the next sample.
+  EXPECT_EQ(waited_s, 15);
 }
 
-// Two-way partition: nothing comes from them that could tell more.
+// Two-way partition: no heartbeat arrives that could provide evidence.
 TEST_F(ReachabilityProbeTest, ResignsAtOnceWhenNoHeartbeatsArriveEither) {
   add_machines(10);
   ASSERT_TRUE(sample_after(0));
-  loop_.pass(9.1);  // more than 1.5 waits of 4 s and a heartbeat interval of 3 s
+  loop_.pass(9.1);  // More than 1.5 response timeouts of 4 s and a heartbeat interval of 3 s.
   finish_sample(10);
   EXPECT_EQ(resignations_, 1);
 }
 
-TEST_F(ReachabilityProbeTest, ResignsAtOnceWhenItHearsNoPeer) {
+TEST_F(ReachabilityProbeTest, ResignsAtOnceWithoutPeerContact) {
   add_machines(10);
-  peer_heard_ = false;
+  peer_contact_ = false;
   ASSERT_TRUE(sample_after(0));
   finish_sample(10);
   EXPECT_EQ(resignations_, 1);
 }
 
-TEST_F(ReachabilityProbeTest, ANewTermStartsAfresh) {
+TEST_F(ReachabilityProbeTest, NewTermDiscardsSampleAndFailure) {
   add_machines(10);
   ASSERT_TRUE(sample_after(0));
   finish_sample(10);
@@ -288,9 +290,10 @@
   const auto requests = std::exchange(requests_, {});
   for (auto& [machine_id, state] : machines_) state.unanswered = true;
   probe_.reset();
-  EXPECT_FALSE(probe_.failing());
-  for (const auto& request : requests) request.done();  // of the earlier term: belong to no sample
-  EXPECT_FALSE(probe_.failing());
+  EXPECT_FALSE(probe_.is_failing());
+  // The requests of the earlier term belong to no sample.
+  for (const auto& request : requests) request.done();
+  EXPECT_FALSE(probe_.is_failing());
   EXPECT_EQ(resignations_, 0);
   EXPECT_TRUE(sample_after(6));
 }
