--- a/src/leader/heartbeats.cpp
+++ b/src/leader/heartbeats.cpp
@@ -19,7 +19,8 @@
 using wire::TaskState;
 
 namespace {
-// Thresholds beyond which a machine, or a job, counts as faulty.
+// A machine counts as faulty after this many failures in a row, or after failures of this many jobs. A job
+// counts as faulty after failures on this many machines.
 constexpr std::uint32_t kMachineErrorThreshold = 3;
 constexpr std::size_t kMachineErrorJobThreshold = 2;
 constexpr std::size_t kJobErrorMachineThreshold = 3;
@@ -193,8 +194,8 @@
       machine.agent_epoch != heartbeat.agent_epoch || machine.listed_sequence != base_sequence ||
       heartbeat.sequence <= machine.last_sequence)
     return false;
-  // A start that the list should reflect by now is missing from it: the list itself must show this (invariant
-  // 6).
+  // The task list should reflect a start command by now but does not: only a full heartbeat can show what
+  // became of the start (invariant 6).
   const bool awaits_list =
       std::any_of(machine.assignments.begin(), machine.assignments.end(), [&](const auto& entry) {
         const auto& assignment = entry.second;
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -238,7 +238,7 @@
       });
       if (!parsed) {
         // Invariant 29: the machines of the record, and what an earlier leader started on them, are unknown.
-        // After this time the lease of every such machine that was not in contact has expired.
+        // The lease of every such machine that sends no heartbeat until this time has expired.
         model::AgentLease unknown_lease;
         unknown_lease.record_renewal(now);
         unreadable_machine_leases_until_ = unknown_lease.latest_expiry_at(settings_.lease_s);
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -358,7 +358,8 @@
   // Jobs cancelled before their start, together with a dependency, whose records do not say so yet.
   std::deque<wire::JobId> cancelled_dependents_;
   std::map<wire::JobId, model::Job*> live_jobs_;
-  std::deque<wire::JobId> ended_jobs_;  // Ended jobs in the order in which they ended.
+  // Ended jobs still in memory. The front is the next candidate for eviction.
+  std::deque<wire::JobId> ended_jobs_;
   std::vector<wire::MachineType> machine_types_;
   std::uint64_t lease_id_ = 0;
   double lease_valid_until_ = 0;
--- a/src/leader/machines.cpp
+++ b/src/leader/machines.cpp
@@ -81,7 +81,7 @@
 }
 
 // Excludes the machine from placement while its lease may expire before the next renewal, since tasks started
-// now would be lost with it. Its next heartbeat arrives within seconds.
+// now would be lost with the lease. The machine is available again after its next heartbeat, within seconds.
 void Leader::update_lease_forecast(Machine& machine) {
   const bool may_end = !lease_forecast_.lasts_until_renewal(loop().now(), machine.answered_at);
   if (std::exchange(machine.lease_may_end, may_end) == may_end) return;
--- a/src/leader/reachability_probe.hpp
+++ b/src/leader/reachability_probe.hpp
@@ -29,11 +29,11 @@
   // What the leader knows of a machine after its probe was answered or timed out.
   struct MachineState {
     bool unanswered = false;
-    // Times on the steady clock. The first two: when the machine's heartbeats last showed that it received a
-    // response sent by a peer, or that such a response was lost.
+    // Times on the steady clock at which the machine's heartbeats last showed that it received a response
+    // sent by a peer, and that such a response was lost.
     double peer_response_arrived_at = 0;
     double peer_response_lost_at = 0;
-    double last_heartbeat_at = 0;
+    double last_heartbeat_at = 0;  // Time of the machine's last heartbeat, on the steady clock.
   };
   // Functions that the leader provides.
   struct Ports {
