--- a/src/leader/heartbeats.cpp
+++ b/src/leader/heartbeats.cpp
@@ -80,7 +80,7 @@
   // Invariant 26: the agent no longer waits for a response to an outdated or duplicate heartbeat, so none may
   // extend its lease.
   if (machine->already_received(heartbeat)) {
-    ++event_counts_["reports came again or too late"];
+    ++event_counts_["outdated or duplicate heartbeats"];
     return message.reply({});
   }
   if (message.route == net::HeartbeatRoute::direct) machine_monitor_.record_direct_contact();
@@ -141,8 +141,8 @@
 // answered, so the machine's lease has just begun.
 void Leader::probe_unregistered_machine(const wire::Heartbeat& heartbeat, bool answered) {
   if (!unregistered_machines_.should_probe(heartbeat, loop().now())) return;
-  log_->debug("machine {}: reports and is not known here, asking it", heartbeat.machine_id.value);
-  ++event_counts_["unknown machines asked"];
+  log_->debug("machine {}: sent a heartbeat but is not registered, probing it", heartbeat.machine_id.value);
+  ++event_counts_["unregistered machines probed"];
   const wire::Json body{
       {"fence", term_}, {"tenure", heartbeat.agent_epoch.value}, {"orders", to_json(std::vector<Command>{})}};
   ports_.workers.send(
@@ -157,20 +157,22 @@
           if (answer.machine_id != machine_id) return;  // The address belongs to another machine by now.
           register_machine(answer, answer.agent_epoch == agent_epoch ? answered_at : std::nullopt);
         } catch (const std::exception& error) {
-          log_->warn("machine {}: answer cannot be read: {}", machine_id.value, error.what());
+          log_->warn("machine {}: response to a direct request cannot be parsed: {}", machine_id.value,
+                     error.what());
         }
       }));
 }
 
 void Leader::register_machine(const wire::Heartbeat& heartbeat, std::optional<double> answered_at) {
   if (rental_manager_.recently_terminated(heartbeat.machine_id)) {
-    log_->warn("machine {}: released and still there, releasing it again", heartbeat.machine_id.value);
+    log_->warn("machine {}: was terminated but still answers, terminating it again",
+               heartbeat.machine_id.value);
     rental_manager_.terminate_again(heartbeat.machine_id);
     return;
   }
   const auto [machine, added] = fleet_.add(heartbeat.machine_id);
   if (added) {
-    log_->debug("machine {}: unexpected, adding it", heartbeat.machine_id.value);
+    log_->debug("machine {}: not in the fleet, registering it", heartbeat.machine_id.value);
     ++event_counts_["unexpected machines"];
     machine->first_seen = loop().now();
   }
@@ -233,7 +235,7 @@
     machine.idle_since = machine.last_heartbeat_received_at = loop().now();
     set_capacity(machine);
     if (expected && !machine.boot_overdue) machine_monitor_.count_boot(true);
-    ++event_counts_["machines came up"];
+    ++event_counts_["machines joined"];
     log_->debug("machine {}: up ({} in {}{})", machine.id.value, machine.machine_type, machine.zone,
                 machine.preemptible ? ", spot" : "");
   }
@@ -245,9 +247,10 @@
 // of which may still arrive.
 void Leader::on_machine_restarted(Machine& machine) {
   if (machine.terminating) return;
-  log_->warn("machine {}: is back and has forgotten its session, returning it", machine.id.value);
+  log_->warn("machine {}: restarted within its agent epoch and lost its tasks, terminating it",
+             machine.id.value);
   machine.lease.record_renewal(loop().now());
-  terminate(machine, "back without its session");
+  terminate(machine, "restarted within its agent epoch");
 }
 
 // Evaluates what this heartbeat shows about the delivery of earlier responses.
@@ -283,7 +286,7 @@
       (listed_tasks.contains(task_id) ? ran_start : lost_start) = true;
       if (!listed_tasks.contains(task_id)) assignment.stopping = true;
     }
-    if (lost_start) ++event_counts_["starts lost"];
+    if (lost_start) ++event_counts_["start commands lost"];
   }
   const bool epoch_began = heartbeat.agent_epoch > machine.agent_epoch;
   if (epoch_began && machine.agent_epoch.value != 0) on_new_agent_epoch(machine, heartbeat.agent_epoch);
@@ -341,13 +344,13 @@
 }
 
 void Leader::on_new_agent_epoch(Machine& machine, wire::AgentEpoch agent_epoch) {
-  log_->debug("machine {}: its lease ran out, its tasks are gone ({})", machine.id.value,
+  log_->debug("machine {}: agent lease expired, its tasks have ended ({} were assigned)", machine.id.value,
               machine.assignments.size());
-  ++event_counts_["leases ran out"];
+  ++event_counts_["agent leases expired"];
   std::vector<wire::TaskId> task_ids;
   for (const auto& [task_id, assignment] : machine.assignments)
     if (assignment.agent_epoch < agent_epoch) {
-      log_->debug("machine {}: {}, assigned {:.1f} s ago, is gone with agent epoch {}", machine.id.value,
+      log_->debug("machine {}: {}, assigned {:.1f} s ago, ended with agent epoch {}", machine.id.value,
                   task_id.text(), loop().now() - assignment.assigned_at, assignment.agent_epoch.value);
       task_ids.push_back(task_id);
     }
@@ -362,8 +365,8 @@
   if (assignment.attempt != task_status.attempt) {
     // The exit is of an earlier attempt; the current attempt is listed separately.
     if (task_status.state == TaskState::exited) return;
-    log_->warn("machine {}: {} runs as attempt {}, not {}", machine.id.value, task_status.task.text(),
-               task_status.attempt.value, assignment.attempt.value);
+    log_->warn("machine {}: {} runs as attempt {}, expected attempt {}", machine.id.value,
+               task_status.task.text(), task_status.attempt.value, assignment.attempt.value);
     assignment.attempt = task_status.attempt;
   }
   const auto job = jobs_.find(task_status.task.job);
@@ -451,9 +454,8 @@
     job->second.set_task_progress(task_status.task.index, model::kTaskAssigned);
     update_queue_membership(job->second);
   } else {
-    log_->debug("machine {}: {} has no business here, stopping it", machine.id.value,
-                task_status.task.text());
-    ++event_counts_["stray tasks"];
+    log_->debug("machine {}: {} is orphaned, stopping it", machine.id.value, task_status.task.text());
+    ++event_counts_["orphaned tasks"];
   }
   if (machine.confirmed && machine.seen_token.value >= first_term_) record_inherited_task_seen(assignment);
   const bool orphaned = assignment.orphaned;
@@ -513,7 +515,7 @@
     job->second.failed_on.clear();
     job->second.reason.clear();
     if (std::exchange(job->second.faulty, false))
-      log_->info("job {}: a task ended well, it is no longer taken for faulty", job->second.spec.id.value);
+      log_->info("job {}: a task completed, the job no longer counts as faulty", job->second.spec.id.value);
     exited_attempt.stored = false;  // Invariant 7.
     on_task_completed(job->second, task_status.task.index, exit_stored_callback(machine, task_status.task));
   } else if (live && task_status.exit_reason != ExitReason::stopped) {
@@ -554,7 +556,8 @@
       if (job.failed_on.size() >= kJobErrorMachineThreshold && !has_complete_replica) {
         job.faulty = true;
         log_->warn(
-            "job {}: its tasks fail on {} machines; one at a time is tried until it is well or cancelled",
+            "job {}: tasks failed on {} machines; trying one task at a time until one completes or the job "
+            "is cancelled",
             job.spec.id.value, job.failed_on.size());
         clear_failures_of_faulty_job(job);
       }
@@ -564,7 +567,7 @@
                                  machine.errors_in_row >= kMachineErrorThreshold);
     if (machine_faulty && !machine.draining) {
       drain(machine, kTasksFailReason);
-      log_->warn("machine {}: tasks keep failing there, taking it out of use", machine.id.value);
+      log_->warn("machine {}: tasks fail there repeatedly, draining it", machine.id.value);
     }
     if (!job.faulty) return;
     job.reason = "its tasks fail on every machine tried";
@@ -595,7 +598,7 @@
   if (job.finished_count < job.spec.task_count)
     return completion_bitmaps_.store(completion_bitmaps_.record_of(job, index / wire::kCompletionChunkTasks),
                                      FlushDelay::exits, std::move(on_stored));
-  log_->debug("job {}: all {} tasks done, {:.1f} s after acceptance ({} guessed {:.1f} s each)",
+  log_->debug("job {}: all {} tasks done, {:.1f} s after acceptance (class {}, estimated {:.1f} s each)",
               job.spec.id.value, job.spec.task_count, loop().wall() - job.accepted_at, job.spec.job_class,
               job.spec.estimated_runtime_s);
   ++event_counts_["jobs done"];
@@ -728,7 +731,8 @@
     if (response.status == 409 && !machine.confirmed && machine.agent_epoch != assumed_epoch)
       send_command(machine, {});
   } catch (const std::exception& error) {
-    log_->warn("machine {}: answer cannot be read: {}", machine_id.value, error.what());
+    log_->warn("machine {}: response to a direct request cannot be parsed: {}", machine_id.value,
+               error.what());
   }
 }
 
@@ -736,11 +740,11 @@
   const double now = loop().now();
   if (machine.preemption_at) return;
   machine.preemption_at = now + preemption_notice_s;
-  drain(machine, "the cloud takes it back");
+  drain(machine, "preemption notice from the cloud");
   autoscaler_.on_machine_reclaimed(machine.machine_type);
-  log_->debug("machine {}: the cloud takes it in {} s, {} tasks", machine.id.value, preemption_notice_s,
-              machine.assignments.size());
-  ++event_counts_["machines warned"];
+  log_->debug("machine {}: preemption notice, the cloud reclaims it in {} s, {} tasks assigned",
+              machine.id.value, preemption_notice_s, machine.assignments.size());
+  ++event_counts_["preemption notices"];
   for (auto& [task_id, assignment] : machine.assignments) {
     const auto job = jobs_.find(task_id.job);
     // A gang moves as a whole, after all its new machines are found (drain).
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -151,7 +151,7 @@
       elected_at_revision_ = term->revision;
       begin_term();
     } else if (*current_term != term_) {
-      log_->info("leader: term raised to {}", *current_term);
+      log_->info("leader: fencing token raised to {}", *current_term);
       term_ = *current_term;
       raising_term_ = false;
     }
@@ -191,14 +191,15 @@
   adopt_quota();
   collect_dependency_garbage();
   rental_manager_.reconcile_rentals();
-  log_->info("leader: begin reign, term {}, {} live jobs, {} machines, {} rentals", term_, live_jobs_.size(),
-             fleet_.size(), rental_manager_.rental_count());
+  log_->info(
+      "leader: leadership term began, fencing token {}, {} live jobs, {} recorded machines, {} rentals",
+      term_, live_jobs_.size(), fleet_.size(), rental_manager_.rental_count());
   probe_unconfirmed_machines();
   plan_soon();
 }
 
 void Leader::end_term() {
-  log_->warn("leader: end of reign, term {}", term_);
+  log_->warn("leader: leadership term ended, fencing token {}", term_);
   is_leader_ = false;
   for (auto& waiting : pending_responses_) waiting.reply({});
   clear_term_state();
@@ -294,8 +295,10 @@
   try {
     if (const auto* entry = cache_.find(wire::kQuotaKey)) record = wire::parse_quota_record(entry->data);
   } catch (const wire::ProtocolError& error) {
-    log_->error("state: {} cannot be read ({}): teams count every machine that is not heard yet in full",
-                wire::kQuotaKey, error.what());
+    log_->error(
+        "state: {} cannot be read ({}): every unconfirmed machine counts in full against the quota of each "
+        "team",
+        wire::kQuotaKey, error.what());
   }
   quota_.begin_term(record, first_term_);
 }
@@ -570,8 +573,9 @@
   model::FleetTotals spot;
   for (const auto& [pool, state] : fleet_.pools()) (pool.preemptible ? spot : on_demand) += state.totals;
   log_->info(
-      "leader: {}; {} machines up, {} coming, {} unconfirmed, {:.0f} of {:.0f} steady and {:.0f} of {:.0f} "
-      "spot cores free, {} live jobs, {} waiting, {} writes waiting",
+      "leader: {}; {} machines up, {} booting, {} unconfirmed, {:.0f} of {:.0f} on-demand and {:.0f} of "
+      "{:.0f} "
+      "spot cores free, {} live jobs, {} queued, {} writes pending",
       text, total.up, total.booting, total.unconfirmed, on_demand.free_cores, on_demand.cores,
       spot.free_cores, spot.cores, live_jobs_.size(), queue_.jobs().size(), writes_.size());
 }
--- a/src/leader/machine_monitor.cpp
+++ b/src/leader/machine_monitor.cpp
@@ -28,13 +28,13 @@
 const char* MachineMonitor::termination_reason(Fault fault) {
   switch (fault) {
     case Fault::never_booted:
-      return "never came up";
+      return "boot timed out";
     case Fault::unreachable:
-      return "silent";
+      return "unreachable";
     case Fault::downlink_lost:
-      return "deaf";
+      return "downlink lost";
     case Fault::uplink_lost:
-      return "mute";
+      return "uplink lost";
   }
   return "";
 }
@@ -67,10 +67,10 @@
   const auto became_slow = boot_statistics_.record_boot(in_time, model::decay(passed_s, settings_.round_s));
   if (!became_slow) return;
   if (*became_slow)
-    log_->warn("boots: {:.0f} % of the last {:.0f} machines are late; others are rented in their place",
+    log_->warn("boots: {:.0f} % of the last {:.0f} machines are overdue, renting replacements",
                100 * boot_statistics_.late_share(), boot_statistics_.weighted_count());
   else
-    log_->info("boots: as usual again, {:.0f} % of the last {:.0f} machines are late",
+    log_->info("boots: back to normal, {:.0f} % of the last {:.0f} machines are overdue",
                100 * boot_statistics_.late_share(), boot_statistics_.weighted_count());
 }
 
@@ -131,9 +131,10 @@
 
 void MachineMonitor::expire_lease(Machine& machine) {
   if (!machine.confirmed) {
-    log_->debug("machine {}: unconfirmed and its lease has run out", machine.id.value);
+    log_->debug("machine {}: agent lease expired before the machine was confirmed, draining it",
+                machine.id.value);
     machine.confirmed = true;
-    ports_.drain(machine, "lease ran out unheard");
+    ports_.drain(machine, "lease expired while unconfirmed");
   }
   // Done only once per expiry. Nothing is placed on the machine until its next heartbeat: a task started in
   // an agent epoch that is only assumed could run although its lease appears to have expired long ago.
@@ -154,18 +155,21 @@
   if (state == before) return;
   fleet_.refresh(machine);
   if (state == State::probing) {
-    log_->debug("machine {}: what it was told did not arrive, asking it", machine.id.value);
-    ports_.count_event("machines asked whether they hear");
+    log_->debug("machine {}: a response or command was not delivered, probing its downlink",
+                machine.id.value);
+    ports_.count_event("downlinks probed");
   } else if (state == State::lost) {
-    log_->warn("machine {}: reports arrive, answers and commands do not; nothing more for it until it hears",
-               machine.id.value);
-    ports_.count_event("deaf machines");
+    log_->warn(
+        "machine {}: downlink lost: heartbeats arrive, responses and commands do not; placing no tasks there "
+        "until it recovers",
+        machine.id.value);
+    ports_.count_event("downlinks lost");
     ports_.plan_soon();
   } else {
     if (before == State::lost) {
-      log_->info("machine {}: hears again after {:.0f} s", machine.id.value,
+      log_->info("machine {}: downlink recovered after {:.0f} s", machine.id.value,
                  loop_.now() - machine.downlink.suspect_since());
-      ports_.count_event("deaf machines that hear again");
+      ports_.count_event("downlinks recovered");
     }
     machine.restart_idle_time(loop_.now());
     ports_.schedule_placement();
--- a/src/leader/machines.cpp
+++ b/src/leader/machines.cpp
@@ -87,7 +87,7 @@
   if (std::exchange(machine.lease_may_end, may_end) == may_end) return;
   fleet_.refresh(machine);
   if (may_end) {
-    ++event_counts_["machines whose lease may end"];
+    ++event_counts_["machines whose lease may expire before renewal"];
     return;
   }
   machine.restart_idle_time(loop().now());
@@ -143,7 +143,7 @@
   if (machine.draining && machine.assignments.empty() && machine.confirmed)
     return terminate(machine, machine.drain_reason);
   if (machine.preemption_at && contact.now > *machine.preemption_at)
-    return terminate(machine, "its notice has run out");
+    return terminate(machine, "preemption notice expired");
   if (terminate_if_idle(machine)) return;
   machine_monitor_.check_unreachable(machine, contact, reachability_probe_.is_failing());
 }
--- a/src/leader/reachability_probe.cpp
+++ b/src/leader/reachability_probe.cpp
@@ -115,11 +115,13 @@
   }
   if (sample_.downlink_lost > sample_.downlink_works) {
     log_->warn(
-        "leader: {} of {} machines cannot be reached from here, nor by the siblings that they report to",
+        "leader: {} of {} probed machines cannot be reached by this controller or by the peers that receive "
+        "their heartbeats, keeping leadership",
         sample_.unanswered, sample_.size);
     return;
   }
-  log_->warn("leader: {} of {} machines cannot be reached from here", sample_.unanswered, sample_.size);
+  log_->warn("leader: {} of {} probed machines cannot be reached by this controller, resigning",
+             sample_.unanswered, sample_.size);
   ports_.resign();
 }
 
--- a/tests/machine_monitor_test.cpp
+++ b/tests/machine_monitor_test.cpp
@@ -233,7 +233,7 @@
   loop_.pass(kLeaseS + 2);
   check(machine);
   EXPECT_TRUE(machine.confirmed);
-  EXPECT_EQ(drained_, std::vector<std::string>{"lease ran out unheard"});
+  EXPECT_EQ(drained_, std::vector<std::string>{"lease expired while unconfirmed"});
   EXPECT_EQ(fleet_.total().unconfirmed, 0U);
 }
 
@@ -313,9 +313,9 @@
 
 TEST_F(MachineMonitorTest, ManyUnreachableMachinesOfAZoneAreKeptForALease) {
   std::vector<Machine*> unreachable;
-  for (int i = 0; i < 3; ++i) unreachable.push_back(&add_machine("silent-" + std::to_string(i)));
+  for (int i = 0; i < 3; ++i) unreachable.push_back(&add_machine("unreachable-" + std::to_string(i)));
   std::vector<Machine*> in_contact;
-  for (int i = 0; i < 4; ++i) in_contact.push_back(&add_machine("heard-" + std::to_string(i)));
+  for (int i = 0; i < 4; ++i) in_contact.push_back(&add_machine("in-contact-" + std::to_string(i)));
   const auto check_all = [&] {
     for (auto* machine : in_contact) receive_heartbeat(*machine);
     monitor_.record_direct_contact();
@@ -336,9 +336,9 @@
 
 TEST_F(MachineMonitorTest, FewUnreachableMachinesOfAZoneAreTerminatedAtOnce) {
   std::vector<Machine*> unreachable;
-  for (int i = 0; i < 2; ++i) unreachable.push_back(&add_machine("silent-" + std::to_string(i)));
+  for (int i = 0; i < 2; ++i) unreachable.push_back(&add_machine("unreachable-" + std::to_string(i)));
   // 2 of 5 machines are not more than two fifths.
-  for (int i = 0; i < 3; ++i) add_machine("heard-" + std::to_string(i));
+  for (int i = 0; i < 3; ++i) add_machine("in-contact-" + std::to_string(i));
   loop_.pass(9.25);
   monitor_.record_direct_contact();
   for (auto* machine : unreachable) set_unanswered_probes(*machine);
@@ -353,7 +353,7 @@
   with_notice.preemptible = true;
   // A machine with a preemption notice was counted when the notice arrived.
   with_notice.preemption_at = loop_.now() + 100;
-  for (int i = 0; i < 4; ++i) add_machine("heard-" + std::to_string(i));
+  for (int i = 0; i < 4; ++i) add_machine("in-contact-" + std::to_string(i));
   loop_.pass(9.25);
   monitor_.record_direct_contact();
   for (auto* each : {&machine, &with_notice}) set_unanswered_probes(*each);
@@ -449,25 +449,25 @@
   EXPECT_TRUE(events_.empty());
   machine.downlink.command_unanswered(loop_.now());
   monitor_.on_downlink_changed(machine, std::exchange(before, machine.downlink.state()));
-  EXPECT_EQ(events_["machines asked whether they hear"], 1);
+  EXPECT_EQ(events_["downlinks probed"], 1);
   EXPECT_EQ(std::pair(plans_, placements_), std::pair(0, 0));
   machine.downlink.probe_ended(loop_.now(), monitor_.timing(), false);
   monitor_.on_downlink_changed(machine, std::exchange(before, machine.downlink.state()));
-  EXPECT_EQ(events_["deaf machines"], 1);
+  EXPECT_EQ(events_["downlinks lost"], 1);
   EXPECT_EQ(std::pair(plans_, placements_), std::pair(1, 0));
   loop_.pass(10);
   machine.downlink.probe_ended(loop_.now(), monitor_.timing(), true);
   monitor_.on_downlink_changed(machine, std::exchange(before, machine.downlink.state()));
-  EXPECT_EQ(events_["deaf machines that hear again"], 1);
+  EXPECT_EQ(events_["downlinks recovered"], 1);
   EXPECT_EQ(std::pair(plans_, placements_), std::pair(1, 1));
   EXPECT_EQ(machine.idle_since, loop_.now());
 }
 
 TEST(MachineMonitorFault, HasAReasonForTheLog) {
-  EXPECT_STREQ(MachineMonitor::termination_reason(Fault::never_booted), "never came up");
-  EXPECT_STREQ(MachineMonitor::termination_reason(Fault::unreachable), "silent");
-  EXPECT_STREQ(MachineMonitor::termination_reason(Fault::downlink_lost), "deaf");
-  EXPECT_STREQ(MachineMonitor::termination_reason(Fault::uplink_lost), "mute");
+  EXPECT_STREQ(MachineMonitor::termination_reason(Fault::never_booted), "boot timed out");
+  EXPECT_STREQ(MachineMonitor::termination_reason(Fault::unreachable), "unreachable");
+  EXPECT_STREQ(MachineMonitor::termination_reason(Fault::downlink_lost), "downlink lost");
+  EXPECT_STREQ(MachineMonitor::termination_reason(Fault::uplink_lost), "uplink lost");
 }
 
 }  // namespace
