--- a/src/fair_share/fair_share_order.hpp
+++ b/src/fair_share/fair_share_order.hpp
@@ -1,6 +1,7 @@
-// The order of waiting work when there is too little for all: teams and their classes take turns by their
-// shares, and within one what can still be in time goes first, then what is nearest to its end. Pure: no
-// input, output or clocks. Source: docs/SHARES.md, "Order in overload".
+// The order of waiting batch jobs during overload, when the capacity does not suffice for all. Teams and
+// their classes of jobs take turns according to their shares. Within a class, jobs that can still be done in
+// time go first, and among these the jobs with the least remaining work. Pure: no input, output or clocks.
+// Source: docs/SHARES.md, "Order in overload".
 #pragma once
 
 #include <map>
@@ -10,25 +11,33 @@
 
 namespace bankhill::fair_share {
 
-using Party = std::pair<std::string, std::string>;  // a team and one of its classes of jobs
+// A team and one of its classes of jobs.
+using TeamClass = std::pair<std::string, std::string>;
 
-struct Waiting {  // a job with tasks to place
-  Party party;
-  double cores = 0;      // of its ready tasks together
-  double left = 0;       // core-seconds until the job is over
-  bool late = false;     // can no longer meet any of its deadlines
-  double age = 0;        // time of day when its waiting began
-  bool largest = false;  // of its class: they have turns of their own
+// A job with tasks to place.
+struct WaitingJob {
+  TeamClass team_class;
+  // Cores of its ready tasks together.
+  double cores = 0;
+  // Core-seconds until the job is done.
+  double remaining_core_s = 0;
+  // Whether the job can no longer meet any of its deadlines.
+  bool is_late = false;
+  // Time of day from which the job's waiting time counts, in seconds.
+  double eligible_at = 0;
+  // Whether the job is among the largest of its class, which have turns of their own.
+  bool is_largest = false;
 };
 
-// Cores that the tasks of each party hold now, those of its largest jobs apart.
-using Held = std::map<std::pair<Party, bool>, double>;
+// Cores that running and starting tasks hold, by team and class; true: those of the largest jobs of the
+// class.
+using AllocatedCores = std::map<std::pair<TeamClass, bool>, double>;
 
-// For each job its turn, a rising number: the lower goes first. `weights` are the teams' shares (any unit; a
-// team that is missing or has 0 gets the least of the others). A team's share is divided evenly among its
-// classes that wait, and of each class's share `largest` goes to its largest jobs while both they and others
-// of it wait.
-std::vector<double> fair_share_order(const std::vector<Waiting>& waiting, const Held& held,
-                                     const std::map<std::string, double>& weights, double largest);
+// Returns the turn of each job in `waiting`: the job with the lower number goes first. `weights`: the teams'
+// shares in any unit; a team without a share, or with 0, gets the least of the other teams' shares. A team's
+// share is divided evenly among its classes with waiting jobs. `largest_share`: the part of each class's
+// share that goes to its largest jobs while both largest and other jobs of the class wait.
+std::vector<double> fair_share_order(const std::vector<WaitingJob>& waiting, const AllocatedCores& allocated,
+                                     const std::map<std::string, double>& weights, double largest_share);
 
 }  // namespace bankhill::fair_share
--- a/src/fair_share/quota_high_water.hpp
+++ b/src/fair_share/quota_high_water.hpp
@@ -1,7 +1,9 @@
-// What each team may be using at most, kept in the state service in coarse steps: raised before it is used,
-// lowered late. So a new leader knows what the machines that it has not heard may hold of a team, instead of
-// counting all of them in full against each. Pure: no input, output or clocks. Source: docs/SHARES.md, "Team
-// limits across terms"; docs/SAFETY.md, invariant 21.
+// Upper bounds on the resources that each team may be using, stored in the state service in coarse steps. A
+// bound is raised before the use that needs it and lowered some time after the use has dropped. From the
+// bounds a new leader knows how much the inherited tasks on machines that are not confirmed yet may hold of
+// each team's limit; without them, it would have to count all of these machines in full against every team.
+// QuotaLedger calls the class and stores its records. Pure: no input, output or clocks. Source:
+// docs/SHARES.md, "Team limits across terms"; docs/SAFETY.md, invariant 21.
 #pragma once
 
 #include <cstdint>
@@ -15,50 +17,64 @@
 
 class QuotaHighWater {
  public:
-  // Teams with their limits (cores, accelerators); one without a limit needs no bound. `steps`: into so many
-  // a limit is divided.
+  // `limits`: the teams' limits of cores and accelerators; a team without a limit needs no bound. `steps`:
+  // the number of steps into which a limit is divided.
   QuotaHighWater(const std::map<std::string, wire::Resources>& limits, double steps);
 
-  // A term with the fencing token `term` begins. `record` is what earlier leaders left; it is believed only
-  // if its term is the one before: else a leader came in between that may not know of bounds.
+  // Begins the term with the fencing token `term`. `record`: the bounds that earlier leaders stored. They are
+  // trusted only if they are from the term before this one: a leader of a term in between may have started
+  // tasks without regard to the bounds.
   void begin_term(const std::optional<wire::QuotaRecord>& record, std::uint64_t term);
-  bool is_record_trusted() const { return believed_; }
+  bool is_record_trusted() const { return record_trusted_; }
 
-  // A task that an earlier leader started was seen on a machine: from here on it is counted where it is used.
+  // An inherited task of the team was seen on a machine. From now on it counts as used on that machine and no
+  // longer as part of what unconfirmed machines may hold.
   void inherited_task_seen(const std::string& team, const wire::Resources& request);
-  // What earlier leaders' tasks that were not seen may hold of the team at most, where `unheard` is the size
-  // of all machines that they may run on.
-  wire::Resources max_unseen_usage(const std::string& team, const wire::Resources& unheard) const;
+  // The resources that inherited tasks of the team which were not seen yet may hold at most.
+  // `unconfirmed_size`: the size of all machines on which such tasks may run.
+  wire::Resources max_unseen_usage(const std::string& team, const wire::Resources& unconfirmed_size) const;
 
-  // Whether the team may come to use `total` now (earlier leaders' tasks included) under the fencing token
-  // `term`. If not, or not for long, a higher bound is remembered as wanted.
+  // Whether the team may use `total`, inherited tasks included, under the fencing token `term` now. If the
+  // bound does not allow this, or soon will not, notes that it has to be raised.
   bool covers(const std::string& team, const wire::Resources& total, std::uint64_t term);
 
-  // The record to write now, if one is needed. `used`: what each team uses at most, not seen tasks included;
-  // `lower`: whether this is the time to lower bounds. One is under way at a time, until record_stored().
+  // Returns the record to store now, if one is needed. `used`: the most that each team may be using, with
+  // inherited tasks that were not seen yet; `may_lower`: whether bounds may be lowered now. Only one record
+  // is being stored at a time: no other is returned until record_stored().
   std::optional<wire::QuotaRecord> next_record(const std::map<std::string, wire::Resources>& used,
-                                               std::uint64_t term, bool lower);
+                                               std::uint64_t term, bool may_lower);
+  // The record from next_record() is stored.
   void record_stored();
-  bool wanted() const { return wanted_; }
+  // Whether a bound has to be raised.
+  bool needs_raise() const { return needs_raise_; }
 
  private:
   struct Team {
     wire::Resources limit;
+    // Unit in which the bound is raised and lowered.
     wire::Resources step;
-    wire::Resources inherited;  // what earlier leaders' tasks may have held when the term began
-    wire::Resources seen;       // of them
-    wire::Resources committed;  // the bound in the state service
-    wire::Resources wanted;     // that it is to be raised to
+    // The most that inherited tasks may have held when the term began.
+    wire::Resources inherited;
+    // The part of `inherited` that is held by tasks which were seen since.
+    wire::Resources inherited_seen;
+    // The bound in the state service.
+    wire::Resources stored_bound;
+    // The use that the next bound has to cover; 0 if the bound need not be raised.
+    wire::Resources required;
   };
+  // The bound for this use: rounded up to whole steps, with a further step, and at most the limit.
   wire::Resources bound_for(const Team& team, const wire::Resources& total) const;
-  bool holds(const std::string& name, const Team& team, const wire::Resources& total,
-             std::uint64_t term) const;
+  // Whether `total` is within every bound that the next leader may trust.
+  bool is_within_bounds(const std::string& name, const Team& team, const wire::Resources& total,
+                        std::uint64_t term) const;
 
   std::map<std::string, Team> teams_;
-  std::optional<wire::QuotaRecord> pending_;
-  std::uint64_t committed_term_ = 0;  // of the record in the state service
-  bool believed_ = false;
-  bool wanted_ = false;  // a bound is to be raised
+  // The record that is being stored.
+  std::optional<wire::QuotaRecord> pending_record_;
+  // Term of the record in the state service.
+  std::uint64_t stored_term_ = 0;
+  bool record_trusted_ = false;
+  bool needs_raise_ = false;
 };
 
 }  // namespace bankhill::fair_share
--- a/src/fair_share/retry_after_pacer.cpp
+++ b/src/fair_share/retry_after_pacer.cpp
@@ -6,32 +6,37 @@
 namespace bankhill::fair_share {
 
 namespace {
-constexpr double kLeastS = 1;
-// Of the time that serving all of them takes: the longest that one is told. At 2 they come at just the rate
-// at which they are served; a little faster, what is left free now and then is used, too.
+constexpr double kMinDelayS = 1;
+// Longest delay as a multiple of the time that serving all expected clients takes. At 2 clients would return
+// at just the rate at which they can be served; a lower value also uses capacity that is left free now and
+// then.
 constexpr double kSpread = 1.5;
 }  // namespace
 
-double RetryAfterPacer::retry_after_s(double now, const std::string& name, double chance) {
-  // Whoever does not come here at its time came elsewhere, or gave up: counted on, the same one was waited
-  // for by every controller, all were told up to 30 s, and a tenth of them gave up although puts were left.
-  while (!due_.empty() && due_.begin()->first < now) request_served(std::string(due_.begin()->second));
+double RetryAfterPacer::retry_after_s(double now, const std::string& name, double random_fraction) {
+  // A client that has not returned here in time went to another controller or has given up. When such clients
+  // were still counted, every controller expected the same clients, all were given delays of up to 30 s, and
+  // a tenth of them gave up although writes were left.
+  while (!by_due_time_.empty() && by_due_time_.begin()->first < now)
+    request_served(std::string(by_due_time_.begin()->second));
   request_served(name);
-  // Told one second each, 850 first submissions asked 8,000 times in vain.
-  const double all_s = static_cast<double>(waiting_.size() + 1) / settings_.rate;
-  const double wait_s = std::min(settings_.most_s, kLeastS + std::floor(chance * kSpread * all_s));
-  // Until it was on its way and has arrived.
-  const double due = now + wait_s + kLeastS;
-  waiting_.emplace(name, due);
-  due_.emplace(due, name);
-  return wait_s;
+  // Delays that grow with the number of clients avoid useless requests: with one second for each client, 850
+  // first submissions led to 8,000 refused requests.
+  const double serve_all_s = static_cast<double>(due_at_.size() + 1) / settings_.rate_per_s;
+  const double delay_s =
+      std::min(settings_.max_delay_s, kMinDelayS + std::floor(random_fraction * kSpread * serve_all_s));
+  // One second more for the request to arrive.
+  const double due_at = now + delay_s + kMinDelayS;
+  due_at_.emplace(name, due_at);
+  by_due_time_.emplace(due_at, name);
+  return delay_s;
 }
 
 void RetryAfterPacer::request_served(const std::string& name) {
-  const auto found = waiting_.find(name);
-  if (found == waiting_.end()) return;
-  due_.erase({found->second, name});
-  waiting_.erase(found);
+  const auto found = due_at_.find(name);
+  if (found == due_at_.end()) return;
+  by_due_time_.erase({found->second, name});
+  due_at_.erase(found);
 }
 
 }  // namespace bankhill::fair_share
--- a/src/queue/largest_jobs.hpp
+++ b/src/queue/largest_jobs.hpp
@@ -1,7 +1,7 @@
-// Which jobs are among the largest of their class, by tasks or by cores a task: a sketch of the sizes that
-// came lately, of bounded size. Pure. It follows from the records of jobs alone, in whatever order they are
-// read: every controller, and a leader after a crash of all, says the same. Source: docs/SHARES.md, "The
-// largest".
+// Determines which jobs are among the largest of their class, by number of tasks or by cores per task, from a
+// sketch of bounded size of the recently accepted jobs' sizes. The result follows from the stored job records
+// alone, in whatever order they are read, so that all controllers agree, also a new leader after a crash of
+// all controllers. Pure: no input, output or clocks. Source: docs/SHARES.md, "The largest".
 #pragma once
 
 #include <map>
@@ -11,46 +11,54 @@
 
 namespace bankhill::queue {
 
-// Sizes in steps of a twelfth, each with the weight of those that came, halved with each half-life of age.
+// Histogram of sizes with logarithmic steps of about 9 %. A size weighs 1 when it is added; its weight is
+// halved with each half-life of age.
 class SizeSketch {
  public:
-  void add(double size, double at, double half_life_s);
-  // The parts of what came that are larger, and smaller, by a step at least; and the weight of all, where one
-  // that has just come has 1.
+  // Adds the size of a job that was accepted at that time of day, in seconds.
+  void add(double size, double accepted_at, double half_life_s);
   struct Rank {
-    double larger = 0;
-    double smaller = 0;
-    double weight = 0;
+    // Weighted shares of the sizes that are larger, and smaller, by at least one step.
+    double larger_share = 0;
+    double smaller_share = 0;
+    // Weight of all sizes together.
+    double total_weight = 0;
   };
   Rank rank(double size) const;
 
  private:
-  void age_to(double at, double half_life_s);
+  // Reduces the weights to what they are at that time of day, if it is later than `newest_at_`.
+  void decay_to(double time_s, double half_life_s);
 
-  std::map<int, double> steps_;
-  double sum_ = 0;
-  double at_ = 0;  // time of day of the youngest: the weights are as of then
+  // Weight of each step of sizes.
+  std::map<int, double> step_weights_;
+  double total_weight_ = 0;
+  // Time of day when the newest size was added; the weights are as of this time.
+  double newest_at_ = 0;
 };
 
 class LargestJobs {
  public:
-  // Of a class the `part` with the largest sizes counts; what came earlier than a half-life weighs half.
-  LargestJobs(double part, double half_life_s) : part_(part), half_life_s_(half_life_s) {}
+  // `largest_part`: the part of each class, from the largest down, that counts as its largest jobs. A job
+  // that was accepted a half-life ago weighs half as much as a new one.
+  LargestJobs(double largest_part, double half_life_s)
+      : largest_part_(largest_part), half_life_s_(half_life_s) {}
 
-  // A job that was accepted, once. Services do not count.
-  void came(const model::Job& job);
-  bool is(const model::Job& job) const;
+  // Adds the sizes of an accepted job; called once for each job. Services do not count.
+  void add_accepted(const model::Job& job);
+  // Whether the job is among the largest of its class.
+  bool contains(const model::Job& job) const;
 
  private:
-  struct Class {
-    SizeSketch tasks;
-    SizeSketch cores;  // a task
+  struct ClassSizes {
+    SizeSketch task_counts;
+    SizeSketch cores_per_task;
   };
-  bool top(const SizeSketch& sketch, double size) const;
+  bool is_in_largest_part(const SizeSketch& sketch, double size) const;
 
-  double part_;
+  double largest_part_;
   double half_life_s_;
-  std::map<std::string, Class> classes_;
+  std::map<std::string, ClassSizes> classes_;
 };
 
 }  // namespace bankhill::queue
--- a/src/queue/preemption_reservations.hpp
+++ b/src/queue/preemption_reservations.hpp
@@ -1,13 +1,16 @@
-// The life of a preemption: tasks were stopped on a machine so that a task of a waiting job can start there.
-// From the decision until that task is placed the room is reserved, for by slack what was stopped may well
-// come before it and would go back to where it had been. Pure; times are seconds on the caller's steady
+// Reservations of the resources that a preemption frees: tasks are stopped on a machine so that a task of a
+// waiting job can start there. The resources are reserved from the decision until that task is placed,
+// because the stopped tasks may have less slack than the waiting job and would otherwise be placed on the
+// same machine again. The leader reports victims, placements and starts, and asks before each placement
+// whether the machine is reserved. Pure: no input, output or clocks; times are seconds on the caller's steady
 // clock.
 //
-// A reservation is bound to its job first: one task of the job waits for it and for no other room. If that
-// task cannot use it any more (the job is over or waited too long, or its task started beside the victims),
-// the room is open to whatever ranks above the victims, so that they are not stopped in vain, until one pass
-// over the waiting jobs has found no use for it. Filled, it is over once the start is known to have arrived;
-// if the start is lost it is bound to its job again.
+// A new reservation is bound to its job: one task of the job waits for this machine and for no other. If that
+// task can no longer use it (the job has ended or waited too long, or the task started beside the victims
+// before they were gone), the reservation is opened to all tasks whose priority is above that of the victims,
+// so that the victims were not stopped in vain, for one complete pass over the waiting jobs. A reservation in
+// which a task was placed is filled. It ends when the start of the task is confirmed; if the start is lost,
+// it is bound to the job again.
 #pragma once
 
 #include <cstdint>
@@ -19,38 +22,53 @@
 
 namespace bankhill::queue {
 
-// What became of the room that a preemption made.
+// Why a preemption's reservation ended.
 enum class PreemptionEnd {
-  used,                      // the task that it was made for was placed there, or one above the victims
-  taken_by_higher_priority,  // work of higher priority left too little of it
-  started_elsewhere,         // the job's last waiting task was placed on another machine
-  job_over,                  // the job was cancelled or is done
-  made_again,                // tasks were stopped on another machine for the same job
-  machine_reused,            // tasks were stopped on the same machine for another job
-  machine_lost,              // the machine takes no more tasks
-  unwanted,                  // nothing that ranks above the victims waits for it
-  expired                    // the time was over before any of this
+  used,                      // The job's task, or another of higher priority than the victims, started there.
+  taken_by_higher_priority,  // Tasks of higher priority left too few free resources for the job's task.
+  started_elsewhere,         // The job's last waiting task was placed on another machine.
+  job_ended,                 // The job was cancelled or has completed.
+  superseded,                // Tasks were stopped on another machine for the same job.
+  machine_reused,            // Tasks were stopped on the same machine for another job.
+  machine_lost,              // The machine accepts no more tasks.
+  unclaimed,                 // No task of higher priority than the victims waits for the resources.
+  expired                    // The reservation's time was over before any of the above happened.
 };
+// Describes the reason in log lines and event counters.
 const char* text(PreemptionEnd end);
 
-enum class PreemptionPhase { bound, open, filled };
+enum class PreemptionPhase {
+  bound,  // Only the job's task, and tasks of higher priority than the job, may use the resources.
+  open,   // Every task of higher priority than the victims may use the resources.
+  filled  // A task was placed there, and its start is not confirmed yet.
+};
 
 struct Preemption {
-  std::uint64_t number = 0;  // names it in the log
+  // Identifies the preemption in the log.
+  std::uint64_t number = 0;
   PreemptionPhase phase = PreemptionPhase::bound;
+  // The job that the tasks were stopped for; of a filled reservation, the job whose task was placed there.
   wire::JobId job;
+  // Priority of the task that the resources are reserved for.
   wire::Priority priority = wire::Priority::normal;
+  // Resources that this task needs.
   wire::Resources request;
   double decided_at = 0;
-  double planned_expires_at = 0;    // bound to its job for so long, as decided
-  double until = 0;                 // the same, with what it was extended by
-  std::set<wire::TaskId> stopping;  // victims that are not known to be gone
-  std::size_t victims = 0;
-  wire::Priority victims_priority = wire::Priority::best_effort;  // the highest
-  double vacated_at = 0;                                          // when the last of them was gone
-  bool in_pass = false;  // was open and had room when the present pass over the waiting jobs began
+  // Time until which the reservation is bound to its job, as set at the decision or after a lost start.
+  double planned_expires_at = 0;
+  // The same time with extensions; the largest number for an open or filled reservation.
+  double expires_at = 0;
+  // Victims that are not known to be gone.
+  std::set<wire::TaskId> remaining_victims;
+  std::size_t victim_count = 0;
+  // The highest priority among the victims.
+  wire::Priority max_victim_priority = wire::Priority::best_effort;
+  // Time when the latest victim was gone; the time of the decision until then.
+  double vacated_at = 0;
+  // Whether the reservation was open and all victims were gone when the current placement pass began.
+  bool available_at_pass_begin = false;
 
-  bool all_victims_gone() const { return stopping.empty(); }
+  bool all_victims_gone() const { return remaining_victims.empty(); }
 };
 
 struct EndedPreemption {
@@ -58,64 +76,78 @@
   wire::JobId job;
   wire::MachineId machine_id;
   PreemptionEnd reason = PreemptionEnd::used;
-  std::size_t victims_left = 0;  // stopped tasks that are not known to be gone
+  // Number of victims that are not known to be gone.
+  std::size_t victims_left = 0;
 };
 
 class PreemptionReservations {
  public:
-  using Machines = std::map<wire::MachineId, Preemption>;
+  using PreemptionsByMachine = std::map<wire::MachineId, Preemption>;
 
-  // The job's task of that rank needs so much there, and is waited for until then. Returns the preemption's
-  // number.
+  // Reserves `request` on the machine for a task of the job until `expires_at`. An earlier reservation of the
+  // job ends or is opened to others; an earlier one of the machine ends. Returns the preemption's number.
   std::uint64_t reserve(const wire::JobId& job, const wire::MachineId& machine_id, wire::Priority priority,
-                        const wire::Resources& request, double now, double until);
-  // A task that is stopped there to make the room.
+                        const wire::Resources& request, double now, double expires_at);
+  // Adds a task that is being stopped on the machine to the victims of its reservation.
   void add_victim(const wire::MachineId& machine_id, const wire::TaskId& task, wire::Priority priority);
-  // A task is gone from the machine. Returns the number of the preemption that waited for it, or 0.
+  // Notes that a task is gone from the machine. Returns the number of the preemption that the task was a
+  // victim of; 0 if it was none.
   std::uint64_t victim_gone(const wire::MachineId& machine_id, const wire::TaskId& task, double now);
-  // The job's task waits for it until then.
-  void extend(const wire::MachineId& machine_id, double until);
-  // The job's task waits for it no longer.
+  // Postpones the expiry of a bound reservation; an earlier time has no effect.
+  void extend(const wire::MachineId& machine_id, double expires_at);
+  // Opens the machine's reservation to all tasks of higher priority than the victims.
   void open_to_others(const wire::MachineId& machine_id);
-  // The room is anybody's.
-  void end(const wire::MachineId& machine_id, PreemptionEnd how);
-  // A task of the job was placed there; `more` of its tasks wait.
-  void task_placed(const wire::JobId& job, const wire::MachineId& machine_id, bool more,
+  // Ends the machine's reservation: any task may use the resources.
+  void end(const wire::MachineId& machine_id, PreemptionEnd reason);
+  // Notes that a task of the job, with that priority, was placed on the machine. `more_waiting`: whether the
+  // job has further tasks to place.
+  void task_placed(const wire::JobId& job, const wire::MachineId& machine_id, bool more_waiting,
                    wire::Priority priority = wire::Priority::production);
-  // The start of the job's task there has arrived, or it never will and the room is waited for until then.
+  // Notes that the start of the job's task on the machine is confirmed.
   void start_arrived(const wire::JobId& job, const wire::MachineId& machine_id);
-  void start_lost(const wire::JobId& job, const wire::MachineId& machine_id, double until);
-  // The job needs none any more.
+  // Notes that the start of the job's task on the machine is lost: the reservation is bound to the job again
+  // until `expires_at`.
+  void start_lost(const wire::JobId& job, const wire::MachineId& machine_id, double expires_at);
+  // The job no longer needs a reservation: ends it, or opens it to others if tasks were stopped for it.
   void release(const wire::JobId& job);
-  // All waiting jobs are tried, and were: what was open throughout and was not used is anybody's.
+  // A placement pass over all waiting jobs begins.
   void begin_pass();
+  // The pass has tried all waiting jobs. Ends the reservations that were open, with all victims gone, when
+  // the pass began.
   void end_pass();
 
-  // Over slow links a stop and its news take longer than a control interval: made again meanwhile on the next
-  // machine, and the next, one batch stopped what it needed several times over.
+  // Whether a task of the job waits for reserved resources. Over slow links a stop and its confirmation take
+  // longer than a control interval: without this check, a single batch job had tasks stopped on one machine
+  // after another, several times as many as it needed.
   bool is_pending(const wire::JobId& job, double now) const;
-  // The machine with the room that the job's task waits for; nothing if none does.
+  // The machine that is reserved for the job's task; null if there is none.
   const wire::MachineId* machine_of(const wire::JobId& job, double now) const;
+  // Whether the machine has a bound or open reservation that has not expired.
   bool is_reserved(const wire::MachineId& machine_id, double now) const;
-  // Whether a task of another job may start in what is free there: in what is left, or before lower ranks.
+  // Whether a task of the job may start in the machine's free resources `available`. A task that the
+  // reservation is not for may do so if its priority is high enough or if it leaves the reserved resources
+  // free.
   bool allows(const wire::MachineId& machine_id, const wire::JobId& job, wire::Priority priority,
-              const wire::Resources& request, const wire::Resources& room, double now) const;
-  // Whether the job's only task waits for room elsewhere: started here, others were stopped for nothing.
-  bool is_pending_elsewhere(const wire::JobId& job, const wire::MachineId& here, double now) const;
-  const Machines& machines() const { return machines_; }
-  // Those that ended since this was last asked.
+              const wire::Resources& request, const wire::Resources& available, double now) const;
+  // Whether a machine other than `machine_id` is reserved for the job. If the job's last waiting task started
+  // on `machine_id`, the victims on the other machine would have been stopped in vain.
+  bool is_pending_elsewhere(const wire::JobId& job, const wire::MachineId& machine_id, double now) const;
+  const PreemptionsByMachine& machines() const { return preemptions_; }
+  // Returns the reservations that have ended since the last call.
   std::vector<EndedPreemption> take_ended();
   void reset();
 
  private:
-  Machines::iterator end(Machines::iterator item, PreemptionEnd how);
-  // Leaves the room to others that rank above the victims, if there are any.
-  void open_or_end(const wire::JobId& job, PreemptionEnd how);
-  void open_to_others(Machines::iterator item);
-  Preemption* filled(const wire::JobId& job, const wire::MachineId& machine_id);
+  PreemptionsByMachine::iterator end(PreemptionsByMachine::iterator item, PreemptionEnd reason);
+  // Opens the job's reservation to others if tasks were stopped for it; ends it otherwise.
+  void open_or_end(const wire::JobId& job, PreemptionEnd reason);
+  void open_to_others(PreemptionsByMachine::iterator item);
+  // The machine's reservation if a task of the job has filled it; null otherwise.
+  Preemption* find_filled(const wire::JobId& job, const wire::MachineId& machine_id);
 
-  Machines machines_;
-  std::map<wire::JobId, wire::MachineId> jobs_;  // of those that are bound
+  PreemptionsByMachine preemptions_;
+  // Machines of the bound reservations, by job.
+  std::map<wire::JobId, wire::MachineId> bound_machines_;
   std::vector<EndedPreemption> ended_;
   std::uint64_t last_number_ = 0;
 };
--- a/tests/preemption_reservations_test.cpp
+++ b/tests/preemption_reservations_test.cpp
@@ -1,4 +1,4 @@
-// Room that was made for a job by stopping others' tasks: whose it is, until when, and what may pass.
+// Reservations of the resources that a preemption frees: who may use them, and until when.
 #include "queue/preemption_reservations.hpp"
 
 #include <gtest/gtest.h>
@@ -12,234 +12,235 @@
 using wire::Resources;
 
 const wire::JobId kJob{"waiting"};
-const wire::JobId kOther{"other"};
+const wire::JobId kOtherJob{"other"};
 const wire::MachineId kMachine{"machine"};
-const wire::MachineId kElsewhere{"elsewhere"};
+const wire::MachineId kOtherMachine{"elsewhere"};
 const Resources kRequest{4, 1, 8};
-const Resources kSmall{1, 0, 1};
-
-// Room for one task of normal priority, made at 10 and reserved until 20.
-PreemptionReservations made_room() {
-  PreemptionReservations room;
-  room.reserve(kJob, kMachine, Priority::normal, kRequest, 10, 20);
-  return room;
-}
-
-TEST(MadeRoomTest, IsOnItsWayUntilItsTimeIsOver) {
-  const auto room = made_room();
-  EXPECT_TRUE(room.is_reserved(kMachine, 10));
-  EXPECT_TRUE(room.is_pending(kJob, 20));
-  EXPECT_FALSE(room.is_pending(kJob, 20.1));
-  EXPECT_FALSE(room.is_reserved(kMachine, 20.1));
-  EXPECT_FALSE(room.is_reserved(kElsewhere, 10));
-  EXPECT_FALSE(room.is_pending(kOther, 10));
-}
-
-TEST(MadeRoomTest, IsItsJobsOwnAndOfHigherPriorities) {
-  const auto room = made_room();
-  EXPECT_TRUE(room.allows(kMachine, kJob, Priority::best_effort, kRequest, kRequest, 12));
-  EXPECT_FALSE(room.allows(kMachine, kOther, Priority::best_effort, kSmall, kRequest, 12));
-  EXPECT_FALSE(room.allows(kMachine, kOther, Priority::normal, kSmall, kRequest, 12));
-  EXPECT_TRUE(room.allows(kMachine, kOther, Priority::high, kSmall, kRequest, 12));
-  // It is anybody's elsewhere, and once its time is over.
-  EXPECT_TRUE(room.allows(kElsewhere, kOther, Priority::best_effort, kSmall, kRequest, 12));
-  EXPECT_TRUE(room.allows(kMachine, kOther, Priority::best_effort, kSmall, kRequest, 20.1));
-}
-
-TEST(MadeRoomTest, OthersMayUseWhatIsFreeBesideIt) {
-  const auto room = made_room();
-  EXPECT_TRUE(room.allows(kMachine, kOther, Priority::normal, kSmall, {5, 1, 9}, 12));
-  EXPECT_FALSE(room.allows(kMachine, kOther, Priority::normal, kSmall, {4.9, 1, 9}, 12));
-  EXPECT_FALSE(room.allows(kMachine, kOther, Priority::normal, kSmall, {5, 1, 8.9}, 12));
-  EXPECT_FALSE(room.allows(kMachine, kOther, Priority::normal, {1, 1, 1}, {5, 1, 9}, 12));
-}
-
-TEST(MadeRoomTest, ItsJobsOnlyTaskWaitsForItAndStartsNowhereElse) {
-  const auto room = made_room();
-  EXPECT_TRUE(room.is_pending_elsewhere(kJob, kElsewhere, 12));
-  EXPECT_FALSE(room.is_pending_elsewhere(kJob, kMachine, 12));
-  EXPECT_FALSE(room.is_pending_elsewhere(kOther, kElsewhere, 12));
-  EXPECT_FALSE(room.is_pending_elsewhere(kJob, kElsewhere, 20.1));
-}
-
-TEST(MadeRoomTest, IsUsedByTheTaskThatIsPlacedThere) {
-  auto room = made_room();
-  room.task_placed(kOther, kMachine, false);
-  EXPECT_TRUE(room.is_pending(kJob, 12));
-  // Of several tasks one may start elsewhere: another still waits for the room.
-  room.task_placed(kJob, kElsewhere, true);
-  EXPECT_TRUE(room.is_pending(kJob, 12));
-  room.task_placed(kJob, kMachine, true);
-  EXPECT_FALSE(room.is_pending(kJob, 12));
-  EXPECT_FALSE(room.is_reserved(kMachine, 12));
-  // The last one needs no room any more, wherever it starts.
-  room = made_room();
-  room.task_placed(kJob, kElsewhere, false);
-  EXPECT_FALSE(room.is_reserved(kMachine, 12));
-}
-
-TEST(MadeRoomTest, AJobHasOneMachineAndAMachineOneJob) {
-  auto room = made_room();
-  room.reserve(kJob, kElsewhere, Priority::normal, kRequest, 12, 22);
-  EXPECT_FALSE(room.is_reserved(kMachine, 12));
-  EXPECT_TRUE(room.is_reserved(kElsewhere, 12));
-  // A job that takes the machine over takes the room with it.
-  room.reserve(kOther, kElsewhere, Priority::high, kRequest, 13, 23);
-  EXPECT_FALSE(room.is_pending(kJob, 13));
-  EXPECT_TRUE(room.is_pending(kOther, 23));
-  room.release(kJob);
-  EXPECT_TRUE(room.is_reserved(kElsewhere, 13));
-}
-
-TEST(MadeRoomTest, IsGivenUpWithItsJobOrItsTerm) {
-  auto room = made_room();
-  room.release(kJob);
-  EXPECT_FALSE(room.is_reserved(kMachine, 12));
-  room = made_room();
-  room.reset();
-  EXPECT_FALSE(room.is_reserved(kMachine, 12));
-  EXPECT_FALSE(room.is_pending(kJob, 12));
-}
-
-// Room whose time was over is forgotten when other is made: what it was kept for then counts as waiting no
-// more.
-TEST(MadeRoomTest, ForgetsWhatIsOver) {
-  auto room = made_room();
-  room.reserve(kOther, kElsewhere, Priority::normal, kRequest, 30, 40);
-  EXPECT_FALSE(room.is_pending(kJob, 15));
-  EXPECT_TRUE(room.is_pending(kOther, 35));
-}
-
-// ---- with the tasks that were stopped
-
-const wire::TaskId kFirst{kOther, 0};
-const wire::TaskId kSecond{kOther, 1};
-
-// Two tasks, the higher of normal priority, are stopped for a task of high priority.
-PreemptionReservations stopped_two() {
-  PreemptionReservations room;
-  room.reserve(kJob, kMachine, Priority::high, kRequest, 10, 20);
-  room.add_victim(kMachine, kFirst, Priority::best_effort);
-  room.add_victim(kMachine, kSecond, Priority::normal);
-  return room;
-}
-
-bool may_use(const PreemptionReservations& room, Priority priority) {
-  return room.allows(kMachine, wire::JobId{"third"}, priority, kRequest, kRequest, 12);
-}
-
-std::vector<PreemptionEnd> ends(PreemptionReservations& room) {
+const Resources kSmallRequest{1, 0, 1};
+
+// A reservation for one task of normal priority, made at 10 s and valid until 20 s.
+PreemptionReservations make_reservation() {
+  PreemptionReservations reservations;
+  reservations.reserve(kJob, kMachine, Priority::normal, kRequest, 10, 20);
+  return reservations;
+}
+
+TEST(PreemptionReservationTest, IsPendingUntilItExpires) {
+  const auto reservations = make_reservation();
+  EXPECT_TRUE(reservations.is_reserved(kMachine, 10));
+  EXPECT_TRUE(reservations.is_pending(kJob, 20));
+  EXPECT_FALSE(reservations.is_pending(kJob, 20.1));
+  EXPECT_FALSE(reservations.is_reserved(kMachine, 20.1));
+  EXPECT_FALSE(reservations.is_reserved(kOtherMachine, 10));
+  EXPECT_FALSE(reservations.is_pending(kOtherJob, 10));
+}
+
+TEST(PreemptionReservationTest, AllowsOnlyItsJobAndHigherPriorities) {
+  const auto reservations = make_reservation();
+  EXPECT_TRUE(reservations.allows(kMachine, kJob, Priority::best_effort, kRequest, kRequest, 12));
+  EXPECT_FALSE(reservations.allows(kMachine, kOtherJob, Priority::best_effort, kSmallRequest, kRequest, 12));
+  EXPECT_FALSE(reservations.allows(kMachine, kOtherJob, Priority::normal, kSmallRequest, kRequest, 12));
+  EXPECT_TRUE(reservations.allows(kMachine, kOtherJob, Priority::high, kSmallRequest, kRequest, 12));
+  // Other machines, and this one after the reservation has expired, may be used by any task.
+  EXPECT_TRUE(
+      reservations.allows(kOtherMachine, kOtherJob, Priority::best_effort, kSmallRequest, kRequest, 12));
+  EXPECT_TRUE(reservations.allows(kMachine, kOtherJob, Priority::best_effort, kSmallRequest, kRequest, 20.1));
+}
+
+TEST(PreemptionReservationTest, OtherJobsMayUseResourcesBesideTheReservedOnes) {
+  const auto reservations = make_reservation();
+  EXPECT_TRUE(reservations.allows(kMachine, kOtherJob, Priority::normal, kSmallRequest, {5, 1, 9}, 12));
+  EXPECT_FALSE(reservations.allows(kMachine, kOtherJob, Priority::normal, kSmallRequest, {4.9, 1, 9}, 12));
+  EXPECT_FALSE(reservations.allows(kMachine, kOtherJob, Priority::normal, kSmallRequest, {5, 1, 8.9}, 12));
+  EXPECT_FALSE(reservations.allows(kMachine, kOtherJob, Priority::normal, {1, 1, 1}, {5, 1, 9}, 12));
+}
+
+TEST(PreemptionReservationTest, ReportsAPendingReservationOnAnotherMachine) {
+  const auto reservations = make_reservation();
+  EXPECT_TRUE(reservations.is_pending_elsewhere(kJob, kOtherMachine, 12));
+  EXPECT_FALSE(reservations.is_pending_elsewhere(kJob, kMachine, 12));
+  EXPECT_FALSE(reservations.is_pending_elsewhere(kOtherJob, kOtherMachine, 12));
+  EXPECT_FALSE(reservations.is_pending_elsewhere(kJob, kOtherMachine, 20.1));
+}
+
+TEST(PreemptionReservationTest, EndsWhenATaskOfItsJobIsPlacedThere) {
+  auto reservations = make_reservation();
+  reservations.task_placed(kOtherJob, kMachine, false);
+  EXPECT_TRUE(reservations.is_pending(kJob, 12));
+  // If one of several tasks starts on another machine, another task still waits for the reservation.
+  reservations.task_placed(kJob, kOtherMachine, true);
+  EXPECT_TRUE(reservations.is_pending(kJob, 12));
+  reservations.task_placed(kJob, kMachine, true);
+  EXPECT_FALSE(reservations.is_pending(kJob, 12));
+  EXPECT_FALSE(reservations.is_reserved(kMachine, 12));
+  // Once the last task is placed, on whatever machine, the job needs no reservation any more.
+  reservations = make_reservation();
+  reservations.task_placed(kJob, kOtherMachine, false);
+  EXPECT_FALSE(reservations.is_reserved(kMachine, 12));
+}
+
+TEST(PreemptionReservationTest, AJobReservesOneMachineAndAMachineIsReservedForOneJob) {
+  auto reservations = make_reservation();
+  reservations.reserve(kJob, kOtherMachine, Priority::normal, kRequest, 12, 22);
+  EXPECT_FALSE(reservations.is_reserved(kMachine, 12));
+  EXPECT_TRUE(reservations.is_reserved(kOtherMachine, 12));
+  // A reservation of the machine for another job replaces the one for this job.
+  reservations.reserve(kOtherJob, kOtherMachine, Priority::high, kRequest, 13, 23);
+  EXPECT_FALSE(reservations.is_pending(kJob, 13));
+  EXPECT_TRUE(reservations.is_pending(kOtherJob, 23));
+  reservations.release(kJob);
+  EXPECT_TRUE(reservations.is_reserved(kOtherMachine, 13));
+}
+
+TEST(PreemptionReservationTest, EndsOnReleaseOfTheJobAndOnReset) {
+  auto reservations = make_reservation();
+  reservations.release(kJob);
+  EXPECT_FALSE(reservations.is_reserved(kMachine, 12));
+  reservations = make_reservation();
+  reservations.reset();
+  EXPECT_FALSE(reservations.is_reserved(kMachine, 12));
+  EXPECT_FALSE(reservations.is_pending(kJob, 12));
+}
+
+// A new reservation removes expired ones, so that their jobs no longer count as waiting for them.
+TEST(PreemptionReservationTest, ExpiredReservationsAreRemovedWhenANewOneIsMade) {
+  auto reservations = make_reservation();
+  reservations.reserve(kOtherJob, kOtherMachine, Priority::normal, kRequest, 30, 40);
+  EXPECT_FALSE(reservations.is_pending(kJob, 15));
+  EXPECT_TRUE(reservations.is_pending(kOtherJob, 35));
+}
+
+// ---- Reservations with victims.
+
+const wire::TaskId kFirstVictim{kOtherJob, 0};
+const wire::TaskId kSecondVictim{kOtherJob, 1};
+
+// Two tasks, of best-effort and normal priority, are stopped for a task of high priority.
+PreemptionReservations make_reservation_with_victims() {
+  PreemptionReservations reservations;
+  reservations.reserve(kJob, kMachine, Priority::high, kRequest, 10, 20);
+  reservations.add_victim(kMachine, kFirstVictim, Priority::best_effort);
+  reservations.add_victim(kMachine, kSecondVictim, Priority::normal);
+  return reservations;
+}
+
+bool is_allowed(const PreemptionReservations& reservations, Priority priority) {
+  return reservations.allows(kMachine, wire::JobId{"third"}, priority, kRequest, kRequest, 12);
+}
+
+std::vector<PreemptionEnd> take_end_reasons(PreemptionReservations& reservations) {
   std::vector<PreemptionEnd> result;
-  for (const auto& ended : room.take_ended()) result.push_back(ended.reason);
+  for (const auto& ended : reservations.take_ended()) result.push_back(ended.reason);
   return result;
 }
 
-using Ends = std::vector<PreemptionEnd>;
-
-TEST(PreemptionLifeTest, HasRoomOnceAllVictimsAreGone) {
-  auto room = stopped_two();
-  EXPECT_EQ(room.victim_gone(kElsewhere, kFirst, 11), 0U);
-  EXPECT_EQ(room.victim_gone(kMachine, {kJob, 0}, 11), 0U);
-  EXPECT_EQ(room.victim_gone(kMachine, kFirst, 11), 1U);
-  EXPECT_EQ(room.victim_gone(kMachine, kFirst, 11), 0U);
-  EXPECT_FALSE(room.machines().at(kMachine).all_victims_gone());
-  EXPECT_EQ(room.victim_gone(kMachine, kSecond, 12), 1U);
-  EXPECT_TRUE(room.machines().at(kMachine).all_victims_gone());
-  EXPECT_EQ(room.machines().at(kMachine).vacated_at, 12);
-}
-
-// Of a job that needs the room no more it goes to what ranks above the victims.
-TEST(PreemptionLifeTest, IsOpenToWhatRanksAboveTheVictimsWhenItsJobIsOver) {
-  auto room = stopped_two();
-  EXPECT_FALSE(may_use(room, Priority::high));
-  room.release(kJob);
-  EXPECT_FALSE(room.is_pending(kJob, 12));
-  EXPECT_TRUE(room.is_reserved(kMachine, 1000));
-  EXPECT_TRUE(may_use(room, Priority::high));
-  EXPECT_FALSE(may_use(room, Priority::normal));
-}
-
-TEST(PreemptionLifeTest, IsAnybodysAfterAPassThatHadNoUseForIt) {
-  auto room = stopped_two();
-  room.release(kJob);
-  room.begin_pass();
-  room.end_pass();
-  EXPECT_TRUE(room.is_reserved(kMachine, 12));  // not there yet
-  room.begin_pass();
-  room.victim_gone(kMachine, kFirst, 13);
-  room.victim_gone(kMachine, kSecond, 13);
-  room.end_pass();
-  EXPECT_TRUE(room.is_reserved(kMachine, 13));  // only since this pass
-  room.begin_pass();
-  room.end_pass();
-  EXPECT_FALSE(room.is_reserved(kMachine, 13));
-  EXPECT_EQ(ends(room), Ends{PreemptionEnd::unwanted});
-}
-
-TEST(PreemptionLifeTest, IsStillToBeUsedWhenItsTaskStartedBesideTheVictims) {
-  auto room = stopped_two();
-  room.task_placed(kJob, kMachine, true, Priority::high);
-  EXPECT_FALSE(room.is_pending(kJob, 12));
-  EXPECT_TRUE(may_use(room, Priority::high));
-  EXPECT_FALSE(may_use(room, Priority::normal));
-  // What ranks no higher than the victims and finds room beside it leaves it as it is.
-  room.victim_gone(kMachine, kFirst, 12);
-  room.victim_gone(kMachine, kSecond, 12);
-  room.task_placed(kOther, kMachine, true, Priority::normal);
-  EXPECT_TRUE(room.is_reserved(kMachine, 12));
-  room.task_placed(kOther, kMachine, true, Priority::high);
-  EXPECT_FALSE(room.is_reserved(kMachine, 12));
-  room.start_arrived(kOther, kMachine);
-  EXPECT_EQ(ends(room), Ends{PreemptionEnd::used});
-}
-
-TEST(PreemptionLifeTest, IsWaitedForAgainWhenTheStartIsLost) {
-  auto room = stopped_two();
-  room.victim_gone(kMachine, kFirst, 11);
-  room.victim_gone(kMachine, kSecond, 11);
-  room.task_placed(kJob, kMachine, true, Priority::high);
-  EXPECT_FALSE(room.is_pending(kJob, 12));
-  EXPECT_TRUE(room.machines().contains(kMachine));
-  room.start_lost(kOther, kMachine, 18);
-  EXPECT_FALSE(room.is_pending(kJob, 12));
-  room.start_lost(kJob, kMachine, 18);
-  EXPECT_TRUE(room.is_pending(kJob, 18));
-  EXPECT_FALSE(may_use(room, Priority::normal));
-  room.task_placed(kJob, kMachine, true, Priority::high);
-  room.start_arrived(kJob, kMachine);
-  EXPECT_FALSE(room.machines().contains(kMachine));
-  EXPECT_EQ(ends(room), Ends{PreemptionEnd::used});
-  // Nothing is left that could be lost.
-  room.start_lost(kJob, kMachine, 30);
-  EXPECT_FALSE(room.is_pending(kJob, 20));
-}
-
-// Meanwhile other room was made for the job's next task: that is the one it waits for.
-TEST(PreemptionLifeTest, IsOpenWhenTheStartIsLostAndItsJobWaitsElsewhere) {
-  auto room = stopped_two();
-  room.victim_gone(kMachine, kFirst, 11);
-  room.victim_gone(kMachine, kSecond, 11);
-  room.task_placed(kJob, kMachine, true, Priority::high);
-  room.reserve(kJob, kElsewhere, Priority::high, kRequest, 12, 22);
-  room.start_lost(kJob, kMachine, 18);
-  EXPECT_EQ(*room.machine_of(kJob, 12), kElsewhere);
-  EXPECT_TRUE(may_use(room, Priority::high));
-  EXPECT_FALSE(may_use(room, Priority::normal));
-}
-
-TEST(PreemptionLifeTest, IsBoundForLongerOnlyWhileItIsBound) {
-  auto room = stopped_two();
-  room.extend(kMachine, 30);
-  EXPECT_TRUE(room.is_pending(kJob, 30));
-  room.extend(kMachine, 15);
-  EXPECT_TRUE(room.is_pending(kJob, 30));
-  room.open_to_others(kMachine);
-  room.extend(kMachine, 40);
-  EXPECT_FALSE(room.is_pending(kJob, 12));
-  room.end(kMachine, PreemptionEnd::machine_lost);
-  EXPECT_FALSE(room.is_reserved(kMachine, 12));
-  EXPECT_EQ(ends(room), Ends{PreemptionEnd::machine_lost});
-  EXPECT_EQ(ends(room), Ends{});
+using EndReasons = std::vector<PreemptionEnd>;
+
+TEST(PreemptionLifecycleTest, IsVacatedOnceAllVictimsAreGone) {
+  auto reservations = make_reservation_with_victims();
+  EXPECT_EQ(reservations.victim_gone(kOtherMachine, kFirstVictim, 11), 0U);
+  EXPECT_EQ(reservations.victim_gone(kMachine, {kJob, 0}, 11), 0U);
+  EXPECT_EQ(reservations.victim_gone(kMachine, kFirstVictim, 11), 1U);
+  EXPECT_EQ(reservations.victim_gone(kMachine, kFirstVictim, 11), 0U);
+  EXPECT_FALSE(reservations.machines().at(kMachine).all_victims_gone());
+  EXPECT_EQ(reservations.victim_gone(kMachine, kSecondVictim, 12), 1U);
+  EXPECT_TRUE(reservations.machines().at(kMachine).all_victims_gone());
+  EXPECT_EQ(reservations.machines().at(kMachine).vacated_at, 12);
+}
+
+// When its job no longer needs the reserved resources, tasks of higher priority than the victims may use
+// them.
+TEST(PreemptionLifecycleTest, OpensToPrioritiesAboveTheVictimsWhenItsJobEnds) {
+  auto reservations = make_reservation_with_victims();
+  EXPECT_FALSE(is_allowed(reservations, Priority::high));
+  reservations.release(kJob);
+  EXPECT_FALSE(reservations.is_pending(kJob, 12));
+  EXPECT_TRUE(reservations.is_reserved(kMachine, 1000));
+  EXPECT_TRUE(is_allowed(reservations, Priority::high));
+  EXPECT_FALSE(is_allowed(reservations, Priority::normal));
+}
+
+TEST(PreemptionLifecycleTest, EndsAfterAPassThatFoundNoUseForIt) {
+  auto reservations = make_reservation_with_victims();
+  reservations.release(kJob);
+  reservations.begin_pass();
+  reservations.end_pass();
+  EXPECT_TRUE(reservations.is_reserved(kMachine, 12));  // The victims are not gone yet.
+  reservations.begin_pass();
+  reservations.victim_gone(kMachine, kFirstVictim, 13);
+  reservations.victim_gone(kMachine, kSecondVictim, 13);
+  reservations.end_pass();
+  EXPECT_TRUE(reservations.is_reserved(kMachine, 13));  // The victims were gone only after the pass began.
+  reservations.begin_pass();
+  reservations.end_pass();
+  EXPECT_FALSE(reservations.is_reserved(kMachine, 13));
+  EXPECT_EQ(take_end_reasons(reservations), EndReasons{PreemptionEnd::unclaimed});
+}
+
+TEST(PreemptionLifecycleTest, StaysOpenWhenItsTaskStartedBesideTheVictims) {
+  auto reservations = make_reservation_with_victims();
+  reservations.task_placed(kJob, kMachine, true, Priority::high);
+  EXPECT_FALSE(reservations.is_pending(kJob, 12));
+  EXPECT_TRUE(is_allowed(reservations, Priority::high));
+  EXPECT_FALSE(is_allowed(reservations, Priority::normal));
+  // A task of no higher priority than the victims, placed beside the reserved resources, does not fill it.
+  reservations.victim_gone(kMachine, kFirstVictim, 12);
+  reservations.victim_gone(kMachine, kSecondVictim, 12);
+  reservations.task_placed(kOtherJob, kMachine, true, Priority::normal);
+  EXPECT_TRUE(reservations.is_reserved(kMachine, 12));
+  reservations.task_placed(kOtherJob, kMachine, true, Priority::high);
+  EXPECT_FALSE(reservations.is_reserved(kMachine, 12));
+  reservations.start_arrived(kOtherJob, kMachine);
+  EXPECT_EQ(take_end_reasons(reservations), EndReasons{PreemptionEnd::used});
+}
+
+TEST(PreemptionLifecycleTest, IsBoundToItsJobAgainWhenTheStartIsLost) {
+  auto reservations = make_reservation_with_victims();
+  reservations.victim_gone(kMachine, kFirstVictim, 11);
+  reservations.victim_gone(kMachine, kSecondVictim, 11);
+  reservations.task_placed(kJob, kMachine, true, Priority::high);
+  EXPECT_FALSE(reservations.is_pending(kJob, 12));
+  EXPECT_TRUE(reservations.machines().contains(kMachine));
+  reservations.start_lost(kOtherJob, kMachine, 18);
+  EXPECT_FALSE(reservations.is_pending(kJob, 12));
+  reservations.start_lost(kJob, kMachine, 18);
+  EXPECT_TRUE(reservations.is_pending(kJob, 18));
+  EXPECT_FALSE(is_allowed(reservations, Priority::normal));
+  reservations.task_placed(kJob, kMachine, true, Priority::high);
+  reservations.start_arrived(kJob, kMachine);
+  EXPECT_FALSE(reservations.machines().contains(kMachine));
+  EXPECT_EQ(take_end_reasons(reservations), EndReasons{PreemptionEnd::used});
+  // A lost start has no effect after the reservation has ended.
+  reservations.start_lost(kJob, kMachine, 30);
+  EXPECT_FALSE(reservations.is_pending(kJob, 20));
+}
+
+// Another machine was reserved meanwhile for the job's next task, which waits for that machine only.
+TEST(PreemptionLifecycleTest, OpensWhenTheStartIsLostAndItsJobWaitsForAnotherMachine) {
+  auto reservations = make_reservation_with_victims();
+  reservations.victim_gone(kMachine, kFirstVictim, 11);
+  reservations.victim_gone(kMachine, kSecondVictim, 11);
+  reservations.task_placed(kJob, kMachine, true, Priority::high);
+  reservations.reserve(kJob, kOtherMachine, Priority::high, kRequest, 12, 22);
+  reservations.start_lost(kJob, kMachine, 18);
+  EXPECT_EQ(*reservations.machine_of(kJob, 12), kOtherMachine);
+  EXPECT_TRUE(is_allowed(reservations, Priority::high));
+  EXPECT_FALSE(is_allowed(reservations, Priority::normal));
+}
+
+TEST(PreemptionLifecycleTest, IsExtendedOnlyWhileItIsBound) {
+  auto reservations = make_reservation_with_victims();
+  reservations.extend(kMachine, 30);
+  EXPECT_TRUE(reservations.is_pending(kJob, 30));
+  reservations.extend(kMachine, 15);
+  EXPECT_TRUE(reservations.is_pending(kJob, 30));
+  reservations.open_to_others(kMachine);
+  reservations.extend(kMachine, 40);
+  EXPECT_FALSE(reservations.is_pending(kJob, 12));
+  reservations.end(kMachine, PreemptionEnd::machine_lost);
+  EXPECT_FALSE(reservations.is_reserved(kMachine, 12));
+  EXPECT_EQ(take_end_reasons(reservations), EndReasons{PreemptionEnd::machine_lost});
+  EXPECT_EQ(take_end_reasons(reservations), EndReasons{});
 }
 
 }  // namespace
