--- a/src/fair_share/fair_share_order.hpp
+++ b/src/fair_share/fair_share_order.hpp
@@ -17,7 +17,7 @@
 // A job with tasks to place.
 struct WaitingJob {
   TeamClass team_class;
-  // Cores of its ready tasks together.
+  // Cores that the job's ready tasks need in total.
   double cores = 0;
   // Core-seconds until the job is done.
   double remaining_core_s = 0;
--- a/src/fair_share/retry_after_pacer.hpp
+++ b/src/fair_share/retry_after_pacer.hpp
@@ -34,7 +34,7 @@
   Settings settings_;
   // Time until which each client is expected to return, by name.
   std::map<std::string, double> due_at_;
-  // The same entries, ordered by time.
+  // The entries of `due_at_`, ordered by time.
   std::set<std::pair<double, std::string>> by_due_time_;
 };
 
--- a/src/queue/largest_jobs.hpp
+++ b/src/queue/largest_jobs.hpp
@@ -30,7 +30,7 @@
   // Reduces the weights to what they are at that time of day, if it is later than `newest_at_`.
   void decay_to(double time_s, double half_life_s);
 
-  // Weight of each step of sizes.
+  // Total weight of the sizes in each step, by step number.
   std::map<int, double> step_weights_;
   double total_weight_ = 0;
   // Time of day when the newest size was added; the weights are as of this time.
--- a/src/queue/preemption_reservations.hpp
+++ b/src/queue/preemption_reservations.hpp
@@ -51,12 +51,14 @@
   wire::JobId job;
   // Priority of the task that the resources are reserved for.
   wire::Priority priority = wire::Priority::normal;
-  // Resources that this task needs.
+  // Resources that are reserved for the task.
   wire::Resources request;
+  // Time when the preemption was decided.
   double decided_at = 0;
   // Time until which the reservation is bound to its job, as set at the decision or after a lost start.
   double planned_expires_at = 0;
-  // The same time with extensions; the largest number for an open or filled reservation.
+  // Time until which the reservation is valid: `planned_expires_at` with extensions; the largest number for
+  // an open or filled reservation.
   double expires_at = 0;
   // Victims that are not known to be gone.
   std::set<wire::TaskId> remaining_victims;
