--- a/src/queue/preemption_reservations.cpp
+++ b/src/queue/preemption_reservations.cpp
@@ -12,19 +12,19 @@
     case PreemptionEnd::used:
       return "used";
     case PreemptionEnd::taken_by_higher_priority:
-      return "taken by a higher priority";
+      return "resources taken by a higher priority";
     case PreemptionEnd::started_elsewhere:
-      return "started elsewhere";
+      return "job started on another machine";
     case PreemptionEnd::job_ended:
-      return "job over";
+      return "job ended";
     case PreemptionEnd::superseded:
-      return "made again on another machine";
+      return "superseded by a preemption on another machine";
     case PreemptionEnd::machine_reused:
-      return "machine taken over by another";
+      return "machine preempted for another job";
     case PreemptionEnd::machine_lost:
-      return "machine lost";
+      return "machine accepts no more tasks";
     case PreemptionEnd::unclaimed:
-      return "unwanted";
+      return "no eligible task waiting";
     case PreemptionEnd::expired:
       return "expired";
   }
