--- a/src/leader/autoscaler.hpp
+++ b/src/leader/autoscaler.hpp
@@ -1,6 +1,7 @@
-// How many machines of which type the fleet should have: the paper's Algorithm 3 (sections 3.1 and 4.1) with
-// the changes of docs/DESIGN.md. Each plan rents what is missing and marks what is too many; a machine that
-// is too many is drained, and an empty one is returned once it has been idle for long enough.
+// Decides how many machines of each type the fleet should have: the paper's Algorithm 3 (sections 3.1
+// and 4.1) with the changes described in docs/DESIGN.md. Each planning round rents the missing machines and
+// determines the excess ones. An excess machine is drained; an empty machine is terminated after it has been
+// idle for long enough.
 #pragma once
 
 #include <cstdint>
@@ -22,103 +23,121 @@
 
 namespace bankhill::leader {
 
+// Keeps the demand for services and the reclaim history, and plans the size of the fleet. Owned by the
+// leader, which calls it on events and in its periodic check of the machines.
 class Autoscaler {
  public:
   struct Settings {
     double control_interval_s = 3;
+    // Maximum time between two planning rounds, in seconds.
     double round_s = 15;
-    double alpha = 0.8;       // part of the budget that is for preemptible machines
-    double phi = 0.1;         // share of tasks that reclaims may hit
-    double idle_boots = 2.5;  // boot times that an idle machine is kept
+    // Share of the budget for preemptible machines.
+    double alpha = 0.8;
+    // Maximum share of tasks that reclaims of a preemptible type may hit.
+    double phi = 0.1;
+    // Time for which an idle preemptible machine is kept, in boot times of its type.
+    double idle_boots = 2.5;
   };
 
-  // What it looks at, and changes as said. All of it outlives the autoscaler.
+  // The leader's state that the autoscaler reads, and the fleet and rentals that it changes. All of it
+  // outlives the autoscaler.
   struct View {
-    const std::vector<wire::MachineType>&
-        machine_types;  // the cloud's catalogue; empty if it is not known yet
+    // The cloud's catalogue; empty until it has been read.
+    const std::vector<wire::MachineType>& machine_types;
     const std::map<wire::JobId, model::Job*>& live_jobs;
     const queue::JobQueue& queue;
     model::Fleet& fleet;
     RentalManager& rentals;
   };
 
-  // What it needs of the leader.
+  // Callbacks into the leader.
   struct Ports {
-    std::function<bool()> is_active_leader;                           // invariant 2
-    std::function<bool(const model::Job&)> may_start;                 // now, its team's limit aside
-    std::function<bool(const model::Job&)> quota_allows;              // one more task of it
-    std::function<std::uint32_t(const model::Job&)> placeable_tasks;  // ready tasks that may be placed
+    // Whether this controller holds a valid lease and may act as leader (invariant 2).
+    std::function<bool()> is_active_leader;
+    // Whether tasks of the job may start now, not considering the team's quota.
+    std::function<bool(const model::Job&)> may_start;
+    // Whether the team's quota allows one more task of the job.
+    std::function<bool(const model::Job&)> quota_allows;
+    // Number of the job's ready tasks that may be placed.
+    std::function<std::uint32_t(const model::Job&)> placeable_tasks;
     std::function<bool(const wire::JobId&)> is_gang;
-    std::function<std::optional<double>(const std::string& team)> core_limit;  // nothing: an unknown team
+    // The team's limit in cores; no value if the team is unknown.
+    std::function<std::optional<double>(const std::string& team)> core_limit;
+    // Rents machines for gangs that lack machines.
     std::function<void(const std::vector<planner::Offer>&)> rent_for_gangs;
-    std::function<void(double wanted, double lacking)> report_core_demand;  // cores
+    // Reports the cores that the plan wants and the cores among them that could not be rented.
+    std::function<void(double wanted, double missing)> report_core_demand;
     std::function<void(model::Machine&, const std::string& reason)> drain;
-    // Undoes that if it was for this reason; says whether it was.
+    // Cancels the drain of a machine if it was drained for this reason; returns whether it was.
     std::function<bool(model::Machine&, const std::string& reason)> cancel_drain;
-    std::function<void(const std::string& event)> count_event;  // for the summary in the log
+    // Counts an event for the summary in the log.
+    std::function<void(const std::string& event)> count_event;
   };
 
   Autoscaler(runtime::Loop& loop, runtime::Log log, Settings settings, View view, Ports ports);
 
   void end_term();
 
-  // What is known of demand and supply, whoever leads.
+  // Updates the statistics of demand and reclaims, which outlast leadership terms.
   void on_service_accepted(const model::Job& job);
-  void on_machine_reclaimed(const std::string& machine_type) { spot_reclaims_.add_reclaim(machine_type); }
-  // `passed_s` seconds have gone by; `remaining`: the part that earlier reclaims still count.
-  void advance_reclaim_history(double passed_s, double remaining) {
-    spot_reclaims_.advance(view_.fleet, passed_s, remaining);
+  void on_machine_reclaimed(const std::string& machine_type) { reclaim_history_.add_reclaim(machine_type); }
+  // Adds `elapsed_s` seconds of the fleet's running preemptible machines to the reclaim history and decays
+  // the history by `decay_factor`.
+  void advance_reclaim_history(double elapsed_s, double decay_factor) {
+    reclaim_history_.advance(view_.fleet, elapsed_s, decay_factor);
   }
 
-  // Plans on the next occasion, a little later than the last plan.
+  // Schedules a planning round on the event loop, with a minimum gap to the last round.
   void plan_soon();
 
-  // To be called for each machine that is up, again and again: drains it if it is too many ...
+  // The leader calls this and terminate_if_idle() periodically for each machine that is up.
+  // Drains the machine if it is in excess of the plan.
   void drain_if_excess(model::Machine& machine);
-  // ... and returns it if it has been idle for long enough; says whether it did.
+  // Terminates the machine if it has been idle for long enough; returns whether it did.
   bool terminate_if_idle(model::Machine& machine);
   void on_machine_terminated(const wire::MachineId& machine_id) { excess_machines_.erase(machine_id); }
 
-  // Cores of steady machines that are kept free of batch tasks for services to come.
+  // Cores of on-demand machines kept free of batch tasks for the services expected next.
   double reserved_cores() const { return reserved_cores_; }
 
  private:
   struct Demand {
-    std::vector<planner::Workload> work;
-    bool tasks_wait = false;  // some task is ready and not placed
+    std::vector<planner::Workload> workloads;
+    // Whether some ready task that may be placed has not been placed.
+    bool has_waiting_tasks = false;
   };
   struct Cores {
-    double steady = 0;
+    double on_demand = 0;
     double preemptible = 0;
-    double& of(bool is_preemptible) { return is_preemptible ? preemptible : steady; }
+    double& of_kind(bool is_preemptible) { return is_preemptible ? preemptible : on_demand; }
   };
   using Offers = std::vector<planner::Offer>;
 
   void plan();
 
-  // What is offered and what is wanted.
+  // Supply and demand.
   Offers current_offers() const;
-  bool reclaim_share_allows(const std::string& machine_type) const;
+  bool is_reclaim_risk_acceptable(const std::string& machine_type) const;
   Demand current_demand();
-  planner::Workload work_of(const model::Job& job) const;
+  planner::Workload make_workload(const model::Job& job) const;
   void limit_to_quota(planner::Workload& work, const std::string& team,
                       std::map<std::string, double>& planned_cores) const;
-  void add_service_reserve(std::vector<planner::Workload>& work);
+  void add_service_reserve(std::vector<planner::Workload>& workloads);
   double demand_window_s() const;
 
   // Scaling out.
   static Cores wanted_cores(const planner::Plan& plan, const Offers& offers);
   Cores present_cores() const;
-  void rent_missing(double& missing_cores, bool preemptible, const Offers& offers);
-  void rent_for_stranded_jobs(const Offers& offers);
-  bool can_take_its_time(const model::Job& job) const;
-  bool machine_at_hand(const model::Job& job) const;
-  static std::size_t smallest_that_holds(const planner::Workload& work, const Offers& offers,
-                                         std::size_t preferred);
+  void rent_missing_cores(double& missing_cores, bool preemptible, const Offers& offers);
+  void rent_for_unserved_jobs(const Offers& offers);
+  bool can_wait_for_plan(const model::Job& job) const;
+  bool has_available_machine(const model::Job& job) const;
+  static std::size_t cheapest_offer_for_task(const planner::Workload& work, const Offers& offers,
+                                             std::size_t preferred);
 
   // Scaling in.
-  void set_excess(double missing_steady_cores);
-  void recall_excess(double& missing_steady_cores);
+  void update_excess_cores(double missing_on_demand_cores);
+  void cancel_excess_drains(double& missing_on_demand_cores);
   double idle_limit_s(const model::Machine& machine) const;
 
   const wire::MachineType* machine_type(const std::string& name) const;
@@ -129,14 +148,16 @@
   View view_;
   Ports ports_;
 
-  model::SpotReclaimHistory spot_reclaims_;
+  model::SpotReclaimHistory reclaim_history_;
   planner::ServiceDemand service_demand_;
   double reserved_cores_ = 0;
 
-  std::set<wire::MachineId> excess_machines_;  // steady ones that are drained since they are too many
-  double excess_cores_ = 0;                    // of steady machines beyond the plan that may still be drained
+  // On-demand machines being drained because they are in excess of the plan.
+  std::set<wire::MachineId> excess_machines_;
+  // Cores of on-demand machines in excess of the plan that may still be drained.
+  double excess_cores_ = 0;
 
-  double last_plan_ = -1e9;  // steady clock
+  double last_plan_at_ = -1e9;  // steady clock, seconds
   bool plan_scheduled_ = false;
   runtime::Timer plan_timer_;
 };
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -8,13 +8,15 @@
 
 namespace {
 constexpr double kHourS = 3600;
-constexpr double kRounding = 1e-6;
+constexpr double kRoundingTolerance = 1e-6;
 
-double part(double need, double size) {
-  return need <= 0 ? std::numeric_limits<double>::infinity() : std::floor(size / need + kRounding);
+// Returns how often a request for one resource fits into the capacity; infinity if the request needs none.
+double fit_count(double required, double capacity) {
+  return required <= 0 ? std::numeric_limits<double>::infinity()
+                       : std::floor(capacity / required + kRoundingTolerance);
 }
 
-double cost(const std::vector<double>& counts, const std::vector<Offer>& offers, bool spot) {
+double hourly_cost(const std::vector<double>& counts, const std::vector<Offer>& offers, bool spot) {
   double sum = 0;
   for (std::size_t i = 0; i < offers.size(); ++i)
     sum += counts[i] *
@@ -22,23 +24,27 @@
   return sum;
 }
 
-// Machines that the work keeps busy over its window, each task capped at one hour.
-double machines(const Workload& work, const wire::Resources& size) {
-  const double busy = work.service ? 1 : std::min(work.task_s, kHourS) / std::max(work.window_s, work.task_s);
-  return work.task_count * busy / slots(work.request, size);
+// Returns how many machines of the given capacity the workload keeps busy on average over its window. Run
+// times are capped at one hour; a service task is busy all the time.
+double machines_needed(const Workload& work, const wire::Resources& capacity) {
+  const double busy_share = work.is_service ? 1
+                                            : std::min(work.estimated_runtime_s, kHourS) /
+                                                  std::max(work.window_s, work.estimated_runtime_s);
+  return work.task_count * busy_share / slots(work.request, capacity);
 }
 }  // namespace
 
-std::vector<double> scale(const std::vector<double>& c, double ratio) {
+std::vector<double> scale(const std::vector<double>& counts, double ratio) {
   std::vector<double> result;
-  result.reserve(c.size());
-  for (const double count : c) result.push_back(std::round(ratio < 1 ? count * ratio : count));
+  result.reserve(counts.size());
+  for (const double count : counts) result.push_back(std::round(ratio < 1 ? count * ratio : count));
   return result;
 }
 
-double slots(const wire::Resources& request, const wire::Resources& size) {
-  return std::min({part(request.cores, size.cores), part(request.accelerators, size.accelerators),
-                   part(request.ram_gb, size.ram_gb)});
+double slots(const wire::Resources& request, const wire::Resources& capacity) {
+  return std::min({fit_count(request.cores, capacity.cores),
+                   fit_count(request.accelerators, capacity.accelerators),
+                   fit_count(request.ram_gb, capacity.ram_gb)});
 }
 
 bool allows(const std::optional<std::vector<std::string>>& machine_types, const std::string& machine_type) {
@@ -62,7 +68,8 @@
     if (work.zone && std::find(machine_type.zones.begin(), machine_type.zones.end(), *work.zone) ==
                          machine_type.zones.end())
       continue;
-    // All types run a task equally fast; boot time differs, but is paid once for many short tasks.
+    // Run times are the same on all types. Boot times differ, but one boot serves many short tasks: the price
+    // per slot decides.
     const double price = machine_type.hourly_price / count;
     if (!best || price < best_price) {
       best = i;
@@ -72,7 +79,7 @@
   return best;
 }
 
-double budget(const std::vector<Workload>& work, const std::vector<Offer>& offers) {
+double hourly_budget(const std::vector<Workload>& work, const std::vector<Offer>& offers) {
   double sum = 0;
   for (const auto& item : work) {
     double total = 0;
@@ -81,7 +88,7 @@
       if (slots(item.request, offer.machine_type.capacity) < 1 ||
           !allows(item.machine_types, offer.machine_type.name))
         continue;
-      total += machines(item, offer.machine_type.capacity) * offer.machine_type.hourly_price;
+      total += machines_needed(item, offer.machine_type.capacity) * offer.machine_type.hourly_price;
       ++types;
     }
     if (types > 0) sum += total / types;
@@ -91,36 +98,37 @@
 
 Plan plan(const std::vector<Workload>& work, const std::vector<Offer>& offers, double alpha) {
   Plan result;
-  std::vector<double> c(offers.size(), 0);
-  std::vector<double> steady_only(offers.size(), 0);
+  std::vector<double> counts(offers.size(), 0);
+  std::vector<double> on_demand_only(offers.size(), 0);
   for (const auto& item : work) {
-    const auto type = choose_offer(item, offers);
-    if (!type) continue;
-    const double count = machines(item, offers[*type].machine_type.capacity);
-    c[*type] += count;
-    if (!item.allows_preemptible) steady_only[*type] += count;
+    const auto index = choose_offer(item, offers);
+    if (!index) continue;
+    const double count = machines_needed(item, offers[*index].machine_type.capacity);
+    counts[*index] += count;
+    if (!item.allows_preemptible) on_demand_only[*index] += count;
   }
-  result.budget = budget(work, offers);
-  const double fast = cost(c, offers, false);
-  result.steady = scale(c, fast > 0 ? result.budget * (1 - alpha) / fast : 1);
-  std::vector<double> rest(offers.size(), 0);
+  result.hourly_budget = hourly_budget(work, offers);
+  const double on_demand_cost = hourly_cost(counts, offers, false);
+  result.on_demand =
+      scale(counts, on_demand_cost > 0 ? result.hourly_budget * (1 - alpha) / on_demand_cost : 1);
+  std::vector<double> spot_counts(offers.size(), 0);
   for (std::size_t i = 0; i < offers.size(); ++i) {
-    // Work that may not run on spot machines cannot be split by alpha.
-    result.steady[i] = std::max(result.steady[i], std::ceil(steady_only[i] - kRounding));
-    rest[i] = std::max(0.0, c[i] - result.steady[i]);
+    // Tasks that must not run on spot machines get on-demand machines whatever alpha's split of the budget.
+    result.on_demand[i] = std::max(result.on_demand[i], std::ceil(on_demand_only[i] - kRoundingTolerance));
+    spot_counts[i] = std::max(0.0, counts[i] - result.on_demand[i]);
   }
-  const double cheap = cost(rest, offers, true);
-  result.spot = scale(rest, cheap > 0 ? result.budget * alpha / cheap : 1);
-  result.avoided.assign(offers.size(), 0);
+  const double spot_cost = hourly_cost(spot_counts, offers, true);
+  result.spot = scale(spot_counts, spot_cost > 0 ? result.hourly_budget * alpha / spot_cost : 1);
+  result.disallowed_spot.assign(offers.size(), 0);
   for (std::size_t i = 0; i < offers.size(); ++i)
-    if (!offers[i].spot_allowed) std::swap(result.spot[i], result.avoided[i]);
+    if (!offers[i].spot_allowed) std::swap(result.spot[i], result.disallowed_spot[i]);
   return result;
 }
 
-double slack(bool service, std::optional<double> due_in_s, double task_s) {
-  if (service) return 0;
-  if (!due_in_s) return std::numeric_limits<double>::max();
-  return std::max(0.0, *due_in_s - task_s);
+double slack(bool is_service, std::optional<double> time_to_deadline_s, double estimated_runtime_s) {
+  if (is_service) return 0;
+  if (!time_to_deadline_s) return std::numeric_limits<double>::max();
+  return std::max(0.0, *time_to_deadline_s - estimated_runtime_s);
 }
 
 }  // namespace bankhill::planner
--- a/src/planner/planner.hpp
+++ b/src/planner/planner.hpp
@@ -1,4 +1,5 @@
-// The paper's algorithms as pure functions (sections 3.1, 4.1 and 4.2, and the design's changes).
+// The paper's planning algorithms as pure functions (sections 3.1, 4.1 and 4.2, with the changes described in
+// docs/DESIGN.md).
 #pragma once
 
 #include <cstdint>
@@ -10,53 +11,63 @@
 
 namespace bankhill::planner {
 
-// scale(c, r): section 3.1.
-std::vector<double> scale(const std::vector<double>& c, double ratio);
+// Scales machine counts down by `ratio` and rounds them; a ratio of 1 or more leaves the counts as they are
+// apart from rounding. This is scale(c, r) of section 3.1.
+std::vector<double> scale(const std::vector<double>& counts, double ratio);
 
-// A job's unfinished tasks, as the plan sees them.
+// The unfinished tasks of a job, or an equal set of tasks to be planned for.
 struct Workload {
   wire::Resources request;
   double task_count = 0;
-  double task_s = 0;    // estimated run time
-  double window_s = 0;  // the time in which the work should be done: its period, at least task_s
-  bool service = false;
+  // Estimated run time of a task, in seconds.
+  double estimated_runtime_s = 0;
+  // Time in which all tasks should be done, in seconds; at least the run time of one task.
+  double window_s = 0;
+  bool is_service = false;
   bool allows_preemptible = false;
   std::optional<std::vector<std::string>> machine_types;
   std::optional<std::string> zone;
 };
 
+// A machine type of the cloud's catalogue, and whether it may be rented as spot machines.
 struct Offer {
   wire::MachineType machine_type;
-  bool spot_allowed = true;  // its reclaim share is below phi or unknown
+  // Whether the share of tasks hit by reclaims of this type is below phi or unknown.
+  bool spot_allowed = true;
 };
 
+// Machine counts by offer, in the order of the offers passed to plan().
 struct Plan {
-  std::vector<double> steady;  // machines of each offer
+  std::vector<double> on_demand;
   std::vector<double> spot;
-  std::vector<double> avoided;  // spot counts that alpha buys of types above phi: for other types to take
-  double budget = 0;            // per hour
+  // Spot machines within alpha's share of the budget whose types are above phi; the caller covers their cores
+  // with other types.
+  std::vector<double> disallowed_spot;
+  double hourly_budget = 0;
 };
 
-// How many tasks of this size a machine holds at once.
-double slots(const wire::Resources& request, const wire::Resources& size);
+// Returns how many tasks with this request a machine of the given capacity runs at the same time.
+double slots(const wire::Resources& request, const wire::Resources& capacity);
 
-// Of the types of the catalogue; 0 if it is empty.
+// Returns the longest boot time of the machine types, in seconds; 0 if there are none.
 double longest_boot_s(const std::vector<wire::MachineType>& machine_types);
 
+// Whether a job with this list of machine types may use `machine_type`. A job without a list may use all.
 bool allows(const std::optional<std::vector<std::string>>& machine_types, const std::string& machine_type);
 
-// Index of the offer on which a task completes earliest when its machine is still to be rented; of equals
-// the one cheapest per slot. Nothing if it fits none.
+// Returns the index of the offer on which a task completes earliest if its machine has yet to be rented, and
+// of equal offers the one with the lowest price per slot. No value if a task fits no allowed offer.
 std::optional<std::size_t> choose_offer(const Workload& work, const std::vector<Offer>& offers);
 
-// Equation 3 over current work, each job with its own makespan (its window).
-double budget(const std::vector<Workload>& work, const std::vector<Offer>& offers);
+// Returns the cost per hour by equation 3 for the current workloads, with each job's window as its makespan.
+double hourly_budget(const std::vector<Workload>& work, const std::vector<Offer>& offers);
 
-// Algorithm 3: step 1 and 2.
+// Algorithm 3, steps 1 and 2: splits the budget between on-demand and spot machines. `alpha` is the share of
+// the budget for spot machines.
 Plan plan(const std::vector<Workload>& work, const std::vector<Offer>& offers, double alpha);
 
-// Section 4.2: what a job can wait without missing its deadline. Services have 0, jobs without a deadline
-// the largest.
-double slack(bool service, std::optional<double> due_in_s, double task_s);
+// Returns how long a job can wait without missing its deadline, in seconds (section 4.2). The slack of a
+// service is 0, that of a job without a deadline is the largest double.
+double slack(bool is_service, std::optional<double> time_to_deadline_s, double estimated_runtime_s);
 
 }  // namespace bankhill::planner
--- a/src/planner/service_demand.cpp
+++ b/src/planner/service_demand.cpp
@@ -6,7 +6,7 @@
 namespace bankhill::planner {
 
 namespace {
-constexpr double kRounding = 1e-6;
+constexpr double kRoundingTolerance = 1e-6;
 }  // namespace
 
 void ServiceDemand::add(double accepted_at, double task_cores, std::uint32_t task_count) {
@@ -16,23 +16,23 @@
   largest_task_cores_ = std::max(largest_task_cores_, task_cores);
 }
 
-void ServiceDemand::forget_before(double time) {
-  while (!accepted_.empty() && accepted_.begin()->first < time) {
+void ServiceDemand::forget_before(double earliest) {
+  while (!accepted_.empty() && accepted_.begin()->first < earliest) {
     accepted_cores_ -= accepted_.begin()->second;
     accepted_.erase(accepted_.begin());
   }
-  if (accepted_.empty()) accepted_cores_ = 0;  // no rounding error is left
+  if (accepted_.empty()) accepted_cores_ = 0;  // clears the accumulated rounding error
 }
 
-double ServiceDemand::rate(double now, double window_s) {
+double ServiceDemand::arrival_rate(double now, double window_s) {
   forget_before(now - window_s);
   return accepted_cores_ / window_s;
 }
 
-double ServiceDemand::reserve(double now, double window_s, double lead_time_s) {
-  const double cores_per_s = rate(now, window_s);
+double ServiceDemand::reserve_cores(double now, double window_s, double lead_time_s) {
+  const double cores_per_s = arrival_rate(now, window_s);
   if (cores_per_s <= 0 || largest_task_cores_ <= 0) return 0;
-  const double tasks = std::floor(cores_per_s * lead_time_s / largest_task_cores_ + kRounding);
+  const double tasks = std::floor(cores_per_s * lead_time_s / largest_task_cores_ + kRoundingTolerance);
   return largest_task_cores_ * tasks;
 }
 
--- a/src/planner/service_demand.hpp
+++ b/src/planner/service_demand.hpp
@@ -1,5 +1,5 @@
-// The services that come: how many cores of them were accepted lately, and what should be kept free for those
-// to come. Pure: times are told.
+// Measures how many cores of services were accepted recently, and computes how many cores to keep free for
+// the services expected next. No input, output or clock: the caller passes the time. Used by the autoscaler.
 #pragma once
 
 #include <cstdint>
@@ -9,20 +9,23 @@
 
 class ServiceDemand {
  public:
-  // A service was accepted at this time of day, in any order.
+  // Records that a service was accepted at `accepted_at` (time of day, seconds). Calls may come in any order
+  // of time.
   void add(double accepted_at, double task_cores, std::uint32_t task_count);
-  // Forgets what was accepted before that time of day.
-  void forget_before(double time);
-  // Cores a second that were accepted in the `window_s` seconds before `now`; forgets what is older.
-  double rate(double now, double window_s);
-  // Cores of whole tasks, the largest known, that about come in `lead_time_s`, at the rate of that window.
-  double reserve(double now, double window_s, double lead_time_s);
+  // Drops services accepted before `earliest` (time of day, seconds).
+  void forget_before(double earliest);
+  // Returns the cores accepted per second in the `window_s` seconds before `now`, and drops older services.
+  double arrival_rate(double now, double window_s);
+  // Returns the cores to keep free for services expected within `lead_time_s` at the arrival rate of the
+  // window, rounded down to whole tasks of the largest known size.
+  double reserve_cores(double now, double window_s, double lead_time_s);
   double largest_task_cores() const { return largest_task_cores_; }
 
  private:
-  std::multimap<double, double> accepted_;  // cores by time of day
-  double accepted_cores_ = 0;               // their sum
-  double largest_task_cores_ = 0;           // of all that were ever accepted
+  std::multimap<double, double> accepted_;  // cores by time of acceptance
+  double accepted_cores_ = 0;               // sum of the cores in `accepted_`
+  // Cores of the largest task among all services ever accepted.
+  double largest_task_cores_ = 0;
 };
 
 }  // namespace bankhill::planner
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -1,4 +1,4 @@
-// What is rented and returned for the work there is, without a leader.
+// Tests of the autoscaler with a real fleet and rental manager, and with callbacks in place of the leader.
 #include "leader/autoscaler.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
 
 struct Overload {
   double wanted = 0;
-  double lacking = 0;
+  double missing = 0;
 };
 
 class AutoscalerTest : public testing::Test {
@@ -60,8 +60,8 @@
     result.placeable_tasks = [](const model::Job& job) { return job.ready_count; };
     result.is_gang = [this](const wire::JobId&) { return is_gang; };
     result.core_limit = [this](const std::string&) { return core_limit; };
-    result.rent_for_gangs = [this](const std::vector<planner::Offer>&) { ++plans; };
-    result.report_core_demand = [this](double wanted, double lacking) { overload = {wanted, lacking}; };
+    result.rent_for_gangs = [this](const std::vector<planner::Offer>&) { ++plan_count; };
+    result.report_core_demand = [this](double wanted, double missing) { overload = {wanted, missing}; };
     result.drain = [this](model::Machine& machine, const std::string& reason) {
       machine.draining = true;
       machine.drain_reason = reason;
@@ -78,18 +78,19 @@
     return result;
   }
 
-  static wire::MachineType make_type(const std::string& name, double cores, double rate, double boot_s) {
+  static wire::MachineType make_type(const std::string& name, double cores, double hourly_price,
+                                     double boot_s) {
     wire::MachineType type;
     type.name = name;
     type.capacity = {cores, 0, 4 * cores};
-    type.hourly_price = rate;
-    type.preemptible_hourly_price = rate / 4;
+    type.hourly_price = hourly_price;
+    type.preemptible_hourly_price = hourly_price / 4;
     type.boot_s = boot_s;
     type.zones = {"a"};
     return type;
   }
 
-  // Of four cores a task, so that the large type serves it best.
+  // Adds a job whose tasks use four cores each; the large type has the lowest price per task.
   model::Job& add_job(std::uint32_t tasks, bool preemptible = false) {
     const wire::JobId id{"job-" + std::to_string(jobs.size())};
     auto& job = jobs[id];
@@ -144,7 +145,7 @@
   std::vector<wire::MachineId> terminating;
   std::map<std::string, int> events;
   Overload overload;
-  int plans = 0;
+  int plan_count = 0;
 
   queue::JobQueue queue{{3, 15, {}, {}, 240, 0.5},
                         {[](const model::Job&) { return true; }, [](const model::Job&) { return true; },
@@ -154,59 +155,59 @@
       loop, log, {3, 15, 0.8, 0.1, 2.5}, {machine_types, live_jobs, queue, fleet, rentals}, ports()};
 };
 
-TEST_F(AutoscalerTest, PlansNothingWhileItMayNotAct) {
+TEST_F(AutoscalerTest, DoesNotPlanWithoutActiveLeadership) {
   add_job(8);
   may_act = false;
   plan();
-  EXPECT_EQ(plans, 0);
+  EXPECT_EQ(plan_count, 0);
   EXPECT_TRUE(requests.empty());
 }
 
-TEST_F(AutoscalerTest, PlansNothingUntilTheCatalogueIsKnown) {
+TEST_F(AutoscalerTest, DoesNotPlanBeforeTheCatalogueIsRead) {
   add_job(8);
   machine_types.clear();
   plan();
-  EXPECT_EQ(plans, 0);
+  EXPECT_EQ(plan_count, 0);
 }
 
-TEST_F(AutoscalerTest, LeavesAPauseBetweenPlans) {
+TEST_F(AutoscalerTest, LimitsThePlanningRate) {
   autoscaler.plan_soon();
   loop.pass(0);
-  EXPECT_EQ(plans, 1);
+  EXPECT_EQ(plan_count, 1);
   autoscaler.plan_soon();
   autoscaler.plan_soon();
   loop.pass(0.8);
-  EXPECT_EQ(plans, 1);
+  EXPECT_EQ(plan_count, 1);
   loop.pass(0.2);
-  EXPECT_EQ(plans, 2);
+  EXPECT_EQ(plan_count, 2);
   loop.pass(10);
-  EXPECT_EQ(plans, 2);
+  EXPECT_EQ(plan_count, 2);
 }
 
-TEST_F(AutoscalerTest, RentsSteadyMachinesForWorkThatNeedsThem) {
+TEST_F(AutoscalerTest, RentsOnDemandMachinesForNonPreemptibleJobs) {
   add_job(8);
   plan();
   EXPECT_EQ(requests, (std::vector<Request>{{"large", 2, false}}));
   EXPECT_EQ(overload.wanted, 32);
-  EXPECT_EQ(overload.lacking, 0);
+  EXPECT_EQ(overload.missing, 0);
 }
 
-TEST_F(AutoscalerTest, RentsPreemptibleMachinesForWorkThatAllowsThem) {
+TEST_F(AutoscalerTest, RentsPreemptibleMachinesForJobsThatAllowThem) {
   add_job(8, true);
   plan();
   EXPECT_EQ(requests, (std::vector<Request>{{"large", 2, true}}));
 }
 
-TEST_F(AutoscalerTest, CountsMachinesThatAreThereOrRequested) {
+TEST_F(AutoscalerTest, CountsPresentAndRequestedMachines) {
   add_machine("small", false);
   add_job(8);
   plan();
-  EXPECT_EQ(requests, (std::vector<Request>{{"small", 7, false}}));  // for 28 cores
+  EXPECT_EQ(requests, (std::vector<Request>{{"small", 7, false}}));  // 28 of 32 cores are missing
   plan();
   EXPECT_EQ(requests.size(), 1U);
 }
 
-TEST_F(AutoscalerTest, RentsWhatCoversTheRestAtTheLeastCost) {
+TEST_F(AutoscalerTest, RentsTheCheapestTypeForTheMissingCores) {
   add_machine("large", false);
   add_machine("small", false);
   add_machine("small", false);
@@ -215,16 +216,16 @@
   EXPECT_EQ(requests, (std::vector<Request>{{"small", 2, false}}));
 }
 
-TEST_F(AutoscalerTest, TellsWhatCannotBeHad) {
+TEST_F(AutoscalerTest, ReportsCoresThatCannotBeRented) {
   for (auto& type : machine_types) type.zones.clear();
   add_job(8);
   plan();
   EXPECT_TRUE(requests.empty());
   EXPECT_EQ(overload.wanted, 32);
-  EXPECT_EQ(overload.lacking, 32);
+  EXPECT_EQ(overload.missing, 32);
 }
 
-TEST_F(AutoscalerTest, RentsNoMoreThanATeamMayUse) {
+TEST_F(AutoscalerTest, RentsNoMoreThanTheTeamLimit) {
   core_limit = 8;
   add_job(8);
   add_job(8);
@@ -232,7 +233,7 @@
   EXPECT_EQ(requests, (std::vector<Request>{{"large", 1, false}}));
 }
 
-TEST_F(AutoscalerTest, RentsNothingForWorkThatIsBlocked) {
+TEST_F(AutoscalerTest, RentsNothingForBlockedJobs) {
   add_job(8).blocked_until = loop.now() + 100;
   add_job(8).dependencies_met = false;
   may_start = false;
@@ -240,7 +241,7 @@
   EXPECT_TRUE(requests.empty());
 }
 
-TEST_F(AutoscalerTest, AvoidsAPreemptibleTypeThatIsReclaimedOften) {
+TEST_F(AutoscalerTest, AvoidsPreemptibleTypesThatAreReclaimedOften) {
   add_machine("large", true);
   autoscaler.advance_reclaim_history(1000, 1);
   for (int i = 0; i < 10; ++i) autoscaler.on_machine_reclaimed("large");
@@ -249,7 +250,7 @@
   EXPECT_EQ(requests, (std::vector<Request>{{"small", 4, true}}));
 }
 
-TEST_F(AutoscalerTest, UsesAPreemptibleTypeAgainOnceReclaimsAreForgotten) {
+TEST_F(AutoscalerTest, UsesAPreemptibleTypeAgainAfterItsReclaimsHaveDecayed) {
   add_machine("large", true);
   autoscaler.advance_reclaim_history(1000, 1);
   for (int i = 0; i < 10; ++i) autoscaler.on_machine_reclaimed("large");
@@ -259,7 +260,7 @@
   EXPECT_EQ(requests, (std::vector<Request>{{"large", 1, true}}));
 }
 
-TEST_F(AutoscalerTest, RentsSteadyMachinesWhereNoPreemptibleTypeMayBeUsedAndWorkWaits) {
+TEST_F(AutoscalerTest, RentsOnDemandMachinesForWaitingTasksIfAllPreemptibleTypesAreAvoided) {
   add_machine("large", true);
   add_machine("small", true);
   autoscaler.advance_reclaim_history(1000, 1);
@@ -271,10 +272,10 @@
   plan();
   EXPECT_EQ(requests, (std::vector<Request>{{"small", 3, false}}));
   EXPECT_EQ(overload.wanted, 32);
-  EXPECT_EQ(overload.lacking, 0);
+  EXPECT_EQ(overload.missing, 0);
 }
 
-TEST_F(AutoscalerTest, ReservesRoomForServicesToCome) {
+TEST_F(AutoscalerTest, ReservesCoresForExpectedServices) {
   model::Job service;
   service.spec.kind = wire::JobKind::service;
   service.spec.request = {4, 0, 1};
@@ -283,7 +284,8 @@
   autoscaler.on_service_accepted(service);
   EXPECT_EQ(autoscaler.reserved_cores(), 0);
   plan();
-  // 240 cores in four boot times of the slowest type: one a second, and whole tasks of six seconds.
+  // 240 cores in four boot times of the slowest type (240 s) are one core per second: 6 cores in the lead
+  // time of 6 s, which hold one whole task of 4 cores.
   EXPECT_EQ(autoscaler.reserved_cores(), 4);
   EXPECT_EQ(requests, (std::vector<Request>{{"large", 1, false}}));
   loop.pass(300);
@@ -291,7 +293,7 @@
   EXPECT_EQ(autoscaler.reserved_cores(), 0);
 }
 
-TEST_F(AutoscalerTest, DrainsSteadyMachinesThatIdlePreemptibleOnesStandInFor) {
+TEST_F(AutoscalerTest, DrainsOnDemandMachinesThatIdlePreemptibleMachinesCanReplace) {
   auto& first = add_machine("large", false);
   auto& second = add_machine("large", false);
   add_machine("large", true);
@@ -302,29 +304,29 @@
   EXPECT_TRUE(first.draining);
   EXPECT_FALSE(second.draining);
   EXPECT_EQ(events["machines surplus"], 1);
-  // What is drained already counts against the idle ones.
+  // The drained machine already uses up the idle preemptible machine.
   plan();
   autoscaler.drain_if_excess(second);
   EXPECT_FALSE(second.draining);
 }
 
-TEST_F(AutoscalerTest, DrainsNoMachineThatServesServicesOrIsNew) {
-  auto& serving = add_machine("large", false);
-  auto& kept = add_machine("large", false);
+TEST_F(AutoscalerTest, DrainsNoMachineThatIsNewOrReservedOrRunsServices) {
+  auto& with_service = add_machine("large", false);
+  auto& reserved = add_machine("large", false);
   auto& preemptible = add_machine("large", true);
   for (int i = 0; i < 3; ++i) add_machine("large", true);
-  serving.service_cores = 1;
-  kept.reserved.cores = 1;
+  with_service.service_cores = 1;
+  reserved.reserved.cores = 1;
   loop.pass(100);
-  auto& recent = add_machine("large", false);
+  auto& new_machine = add_machine("large", false);
   plan();
-  for (auto* machine : {&serving, &kept, &preemptible, &recent}) {
+  for (auto* machine : {&with_service, &reserved, &preemptible, &new_machine}) {
     autoscaler.drain_if_excess(*machine);
     EXPECT_FALSE(machine->draining);
   }
 }
 
-TEST_F(AutoscalerTest, DrainsNothingWhileThePlanWantsIt) {
+TEST_F(AutoscalerTest, DrainsNoMachineThatThePlanNeeds) {
   auto& machine = add_machine("large", false);
   add_machine("large", true);
   loop.pass(100);
@@ -334,7 +336,7 @@
   EXPECT_FALSE(machine.draining);
 }
 
-TEST_F(AutoscalerTest, UsesDrainedMachinesAgainBeforeItRents) {
+TEST_F(AutoscalerTest, CancelsDrainsBeforeRentingMachines) {
   auto& machine = add_machine("large", false);
   add_machine("large", true);
   loop.pass(100);
@@ -350,7 +352,7 @@
   EXPECT_EQ(events["surplus machines wanted again"], 1);
 }
 
-TEST_F(AutoscalerTest, ForgetsDrainedMachinesThatAreGone) {
+TEST_F(AutoscalerTest, ForgetsDrainedMachinesThatWereTerminated) {
   auto& machine = add_machine("large", false);
   add_machine("large", true);
   loop.pass(100);
@@ -365,10 +367,10 @@
   EXPECT_EQ(requests, (std::vector<Request>{{"large", 1, false}}));
 }
 
-// The plan's cores are there, and none of them can be used for the job.
-class StrandedJobTest : public AutoscalerTest {
+// The fleet has the cores that the plan wants, but no machine can take a task of the job.
+class UnservedJobTest : public AutoscalerTest {
  protected:
-  StrandedJobTest() {
+  UnservedJobTest() {
     machine.used = machine.capacity;
     fleet.refresh(machine);
   }
@@ -376,15 +378,15 @@
   model::Job& job = add_job(1);
 };
 
-TEST_F(StrandedJobTest, EarnsTheSmallestMachineThatHoldsATask) {
-  add_job(1);  // earns no other of the same type
+TEST_F(UnservedJobTest, RentsTheCheapestMachineThatFitsATask) {
+  add_job(1);  // the second job gets no other machine of the same type
   plan();
   EXPECT_EQ(requests, (std::vector<Request>{{"small", 1, false}}));
-  plan();  // that one is on its way
+  plan();  // the requested machine has not arrived yet
   EXPECT_EQ(requests.size(), 1U);
 }
 
-TEST_F(StrandedJobTest, EarnsAMachineInItsZone) {
+TEST_F(UnservedJobTest, RentsAMachineInTheZoneOfTheJob) {
   for (auto& type : machine_types) type.zones = {"a", "b"};
   job.spec.zone = "b";
   plan();
@@ -392,18 +394,18 @@
   EXPECT_EQ(request_zones, std::vector<std::string>{"b"});
 }
 
-TEST_F(StrandedJobTest, EarnsNoneWhereAMachineHasRoom) {
+TEST_F(UnservedJobTest, RentsNothingIfAMachineHasFreeResources) {
   machine.used = {12, 0, 12};
   fleet.refresh(machine);
   plan();
   EXPECT_TRUE(requests.empty());
-  // Unless its tasks failed there.
+  // A machine on which tasks of the job failed does not count.
   job.failed_on.insert(machine.id);
   plan();
   EXPECT_EQ(requests.size(), 1U);
 }
 
-TEST_F(StrandedJobTest, EarnsNoneWhileItMayNotStart) {
+TEST_F(UnservedJobTest, RentsNothingForJobsThatCannotStart) {
   may_start = false;
   plan();
   may_start = true;
@@ -415,23 +417,24 @@
   EXPECT_TRUE(requests.empty());
 }
 
-TEST_F(StrandedJobTest, EarnsNoneWhileItsCutoffIsFar) {
+TEST_F(UnservedJobTest, RentsNothingWhileTheCutoffIsFarAway) {
   job.cutoff = loop.wall() + 100'000;
   plan();
   EXPECT_TRUE(requests.empty());
-  job.cutoff = loop.wall() + 200;  // less than a boot and the run with the reserve
+  job.cutoff = loop.wall() + 200;  // half of it is less than the boot time plus the run time (160 s)
   plan();
   EXPECT_EQ(requests.size(), 1U);
 }
 
-TEST_F(AutoscalerTest, ReturnsAMachineThatIsIdleForLongerThanABootIsWorth) {
-  auto& steady = add_machine("large", false);
+TEST_F(AutoscalerTest, TerminatesMachinesIdleBeyondTheIdleLimit) {
+  auto& on_demand = add_machine("large", false);
   auto& preemptible = add_machine("large", true);
   loop.pass(59);
-  EXPECT_FALSE(autoscaler.terminate_if_idle(steady));  // the cloud charges a minute in any case
+  EXPECT_FALSE(
+      autoscaler.terminate_if_idle(on_demand));  // within the cloud's minimum billing period of one minute
   loop.pass(1);
-  EXPECT_TRUE(autoscaler.terminate_if_idle(steady));
-  EXPECT_EQ(terminating, std::vector<wire::MachineId>{steady.id});
+  EXPECT_TRUE(autoscaler.terminate_if_idle(on_demand));
+  EXPECT_EQ(terminating, std::vector<wire::MachineId>{on_demand.id});
   EXPECT_FALSE(autoscaler.terminate_if_idle(preemptible));
   loop.pass(89);
   EXPECT_FALSE(autoscaler.terminate_if_idle(preemptible));
@@ -439,14 +442,14 @@
   EXPECT_TRUE(autoscaler.terminate_if_idle(preemptible));
 }
 
-TEST_F(AutoscalerTest, KeepsMachinesThatAreUsedOrKeptForATask) {
+TEST_F(AutoscalerTest, KeepsMachinesThatAreUsedOrReserved) {
   auto& busy = add_machine("large", false);
-  auto& kept = add_machine("large", false);
+  auto& reserved = add_machine("large", false);
   busy.assignments.emplace(wire::TaskId{{"job-1"}, 0}, model::Assignment{});
-  kept.reserved.cores = 1;
+  reserved.reserved.cores = 1;
   loop.pass(1000);
   EXPECT_FALSE(autoscaler.terminate_if_idle(busy));
-  EXPECT_FALSE(autoscaler.terminate_if_idle(kept));
+  EXPECT_FALSE(autoscaler.terminate_if_idle(reserved));
 }
 
 }  // namespace
--- a/tests/rental_manager_test.cpp
+++ b/tests/rental_manager_test.cpp
@@ -1,4 +1,5 @@
-// Renting and terminating machines, without a leader, a state service or a cloud.
+// Tests of renting and terminating machines, with callbacks in place of the leader, the state service and the
+// cloud.
 #include "leader/rental_manager.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +10,7 @@
 namespace bankhill::leader {
 namespace {
 
-using Kind = cloud::RentalResult::Status;
+using Status = cloud::RentalResult::Status;
 
 struct RecordedRequest {
   std::string name;
@@ -26,7 +27,7 @@
  protected:
   RentalManagerTest() { restart(); }
 
-  // Another controller, which leads next.
+  // Replaces the manager by that of another controller, which leads in the given term.
   void restart(std::uint64_t term = 7) {
     manager.reset();
     fleet.clear();
@@ -39,8 +40,8 @@
     result.is_active_leader = [this] { return may_act; };
     result.send_to_cloud = [this](cloud::Cloud::Message message) {
       if (auto* rent = std::get_if<cloud::Rent>(&message)) rent_requests.push_back(std::move(*rent));
-      if (auto* release = std::get_if<cloud::Terminate>(&message))
-        terminations.push_back(std::move(*release));
+      if (auto* termination = std::get_if<cloud::Terminate>(&message))
+        terminations.push_back(std::move(*termination));
       if (auto* list = std::get_if<cloud::ListMachines>(&message)) list_requests.push_back(std::move(*list));
     };
     result.machine_type = [this](const std::string& name) { return name == type.name ? &type : nullptr; };
@@ -57,7 +58,7 @@
       terminated.push_back(machine_id);
       if (fleet.find(machine_id) != nullptr) fleet.erase(machine_id);
     };
-    result.plan_soon = [this] { ++plans_wanted; };
+    result.plan_soon = [this] { ++plan_requests; };
     result.count_event = [this](const std::string& event) { ++events[event]; };
     return result;
   }
@@ -68,11 +69,11 @@
     return result;
   }
 
-  // Requests machines and lets the record be committed.
+  // Requests machines and reports the records of the requests as committed.
   void request(double count, bool preemptible = false, const std::string& zone = "a") {
     manager->request(type, preemptible, count, zone);
-    for (std::size_t i = committed; i < recorded_requests.size(); ++i) recorded_requests[i].stored();
-    committed = recorded_requests.size();
+    for (std::size_t i = committed_requests; i < recorded_requests.size(); ++i) recorded_requests[i].stored();
+    committed_requests = recorded_requests.size();
   }
 
   void add_machines(int count, int first = 0) {
@@ -108,7 +109,7 @@
   model::Fleet fleet;
 
   std::vector<RecordedRequest> recorded_requests;
-  std::size_t committed = 0;  // of them
+  std::size_t committed_requests = 0;  // number of recorded requests reported as committed
   std::vector<RecordedMachines> recorded_machines;
   std::vector<std::string> removed_records;
   std::vector<cloud::Rent> rent_requests;
@@ -117,7 +118,7 @@
   std::vector<wire::MachineId> terminating;
   std::vector<wire::MachineId> terminated;
   std::map<std::string, int> events;
-  int plans_wanted = 0;
+  int plan_requests = 0;
   std::optional<RentalManager> manager;
 };
 
@@ -134,7 +135,7 @@
   EXPECT_FALSE(record.machine_ids);
   EXPECT_TRUE(manager->has_pending_rental());
 
-  // Neither at once nor later, as long as the record is not committed.
+  // No request is sent before the record is committed, not even after a while.
   loop.pass(60);
   manager->reconcile_if_due();
   EXPECT_TRUE(rent_requests.empty());
@@ -145,7 +146,7 @@
   EXPECT_EQ(rent_requests[0].rental.count, 3U);
 }
 
-TEST_F(RentalManagerTest, RequestsNothingWhileItMayNotAct) {
+TEST_F(RentalManagerTest, SendsNoRequestWithoutActiveLeadership) {
   may_act = false;
   request(2);
   manager->reconcile_rentals();
@@ -156,9 +157,9 @@
   EXPECT_EQ(rent_requests[0].name, "r-7-1");
 }
 
-TEST_F(RentalManagerTest, AddsTheMachinesAndClosesTheRentalOnceEachHasItsRecord) {
+TEST_F(RentalManagerTest, AddsMachinesAndClosesTheRentalOnceAllAreRecorded) {
   request(2);
-  rent_requests[0].done({Kind::granted, machine_ids(2)});
+  rent_requests[0].done({Status::granted, machine_ids(2)});
   ASSERT_EQ(recorded_machines.size(), 1U);
   EXPECT_EQ(recorded_machines[0].name, "r-7-1");
   EXPECT_EQ(recorded_machines[0].record.machine_ids, (std::vector<std::string>{"n-1000", "n-1001"}));
@@ -180,7 +181,7 @@
   EXPECT_EQ(manager->rental_count(), 0U);
 }
 
-TEST_F(RentalManagerTest, ANewLeaderRepeatsAnOpenRentalUnderTheSameName) {
+TEST_F(RentalManagerTest, NewLeaderRepeatsAPendingRentalUnderTheSameName) {
   request(4);
   const auto recorded = recorded_requests[0];
   rent_requests.clear();
@@ -194,21 +195,21 @@
   EXPECT_EQ(rent_requests[0].rental.count, 4U);
   EXPECT_TRUE(recorded_requests.empty());
 
-  // Only once, as long as it is not answered.
+  // The request is not repeated while its response is outstanding.
   loop.pass(60);
   manager->reconcile_rentals();
   EXPECT_EQ(rent_requests.size(), 1U);
-  rent_requests[0].done({Kind::granted, machine_ids(4)});
+  rent_requests[0].done({Status::granted, machine_ids(4)});
   EXPECT_EQ(fleet.size(), 4U);
   EXPECT_FALSE(fleet.find({"n-1000"})->rented_this_term);  // an earlier leader may have used it
 
-  // Its own rentals have other names.
+  // The new leader's own rentals have names with its own term.
   EXPECT_EQ(manager->name_prefix(), "r-9-");
   manager->request(type, false, 1, "a");
   EXPECT_EQ(recorded_requests.back().name, "r-9-1");
 }
 
-TEST_F(RentalManagerTest, ANewLeaderTakesOverTheMachinesOfARental) {
+TEST_F(RentalManagerTest, NewLeaderAddsTheMachinesOfARecordedRental) {
   restart(9);
   wire::RentalRecord record{"large", "b", true, 2, 50, std::vector<std::string>{"n-1", "n-2"}};
   manager->adopt("r-7-3", record);
@@ -219,49 +220,50 @@
   EXPECT_FALSE(fleet.find({"n-2"})->rented_this_term);
 }
 
-TEST_F(RentalManagerTest, TakesWhatThereIsAndDoesNotAskAgainForAWhile) {
+TEST_F(RentalManagerTest, BacksOffInTheZoneAfterAPartialGrant) {
   request(5);
-  rent_requests[0].done({Kind::granted, machine_ids(2)});
+  rent_requests[0].done({Status::granted, machine_ids(2)});
   EXPECT_EQ(fleet.size(), 2U);
   ASSERT_EQ(recorded_machines.size(), 1U);
   EXPECT_EQ(recorded_machines[0].record.machine_ids->size(), 2U);
-  EXPECT_EQ(plans_wanted, 1);
+  EXPECT_EQ(plan_requests, 1);
 
-  // The pause is half a round, for this zone alone.
+  // The back-off lasts half a round and applies to this zone only.
   EXPECT_EQ(manager->request(type, false, 3, "a"), 0);
   EXPECT_EQ(manager->request(type, false, 3, "b"), 3);
   loop.pass(settings.round_s / 2 - 0.1);
   EXPECT_EQ(manager->request(type, false, 3, "a"), 0);
   loop.pass(0.1);
-  // One request shows whether there are some again; without doubt several go out.
+  // After the back-off a single request is sent to find out whether there is capacity again. For a zone
+  // without a stockout several are sent.
   EXPECT_EQ(manager->request(type, false, 120, "a"), cloud::kMaxMachinesPerRental);
   EXPECT_EQ(manager->request(type, false, 120, "c"), 120);
 }
 
-TEST_F(RentalManagerTest, ClosesARentalThatBringsNoMachine) {
+TEST_F(RentalManagerTest, ClosesARentalThatGotNoMachines) {
   request(5);
-  rent_requests[0].done({Kind::no_capacity, {}});
+  rent_requests[0].done({Status::no_capacity, {}});
   EXPECT_EQ(removed_records, std::vector<std::string>{"r-7-1"});
   EXPECT_EQ(manager->rental_count(), 0U);
-  EXPECT_EQ(plans_wanted, 1);
+  EXPECT_EQ(plan_requests, 1);
   EXPECT_EQ(fleet.size(), 0U);
   EXPECT_EQ(manager->request(type, false, 5, "a"), 0);
 }
 
-TEST_F(RentalManagerTest, CapacityThatIsBackEndsThePause) {
+TEST_F(RentalManagerTest, EndsTheBackOffOnceCapacityIsAvailableAgain) {
   request(5);
-  rent_requests[0].done({Kind::no_capacity, {}});
+  rent_requests[0].done({Status::no_capacity, {}});
   loop.pass(settings.round_s / 2);
   request(5);
-  rent_requests[1].done({Kind::granted, machine_ids(5)});
+  rent_requests[1].done({Status::granted, machine_ids(5)});
   EXPECT_EQ(manager->request(type, false, 120, "a"), 120);
 }
 
 TEST_F(RentalManagerTest, RetriesUnderTheSameNameWhenTheCloudFails) {
   request(2);
-  rent_requests[0].done({Kind::failed, {}});
+  rent_requests[0].done({Status::failed, {}});
   EXPECT_TRUE(removed_records.empty());
-  EXPECT_EQ(plans_wanted, 0);
+  EXPECT_EQ(plan_requests, 0);
   loop.pass(settings.control_interval_s / 2 - 0.1);
   manager->reconcile_rentals();
   EXPECT_EQ(rent_requests.size(), 1U);
@@ -272,7 +274,7 @@
   EXPECT_EQ(recorded_requests.size(), 1U);
 }
 
-TEST_F(RentalManagerTest, AnswersOfAnEarlierTermChangeNothing) {
+TEST_F(RentalManagerTest, IgnoresResponsesToRequestsOfAnEarlierTerm) {
   request(2);
   add_machines(1, 500);
   terminate({"n-1500"});
@@ -280,7 +282,7 @@
   ASSERT_EQ(list_requests.size(), 1U);
   manager->end_term();
   manager->begin_term(8);
-  rent_requests[0].done({Kind::granted, machine_ids(2)});
+  rent_requests[0].done({Status::granted, machine_ids(2)});
   terminations[0].done(true);
   wire::ListedMachine listed;
   listed.id = {"n-9"};
@@ -291,31 +293,31 @@
   EXPECT_FALSE(manager->recently_terminated({"n-1500"}));
 }
 
-TEST_F(RentalManagerTest, AnswersAfterItsEndAreIgnored) {
+TEST_F(RentalManagerTest, IgnoresResponsesAfterItsDestruction) {
   request(2);
   add_machines(1, 500);
   manager->terminate(*fleet.find({"n-1500"}), "idle");
   manager.reset();
   loop.run_posted();
-  rent_requests[0].done({Kind::granted, machine_ids(2)});
+  rent_requests[0].done({Status::granted, machine_ids(2)});
   EXPECT_TRUE(terminations.empty());
   EXPECT_EQ(fleet.size(), 1U);
 }
 
-TEST_F(RentalManagerTest, DividesALargeRequest) {
+TEST_F(RentalManagerTest, SplitsALargeRequest) {
   EXPECT_EQ(manager->request(type, false, 130, "a"), 130);
   ASSERT_EQ(recorded_requests.size(), 3U);
   EXPECT_EQ(recorded_requests[0].record.count, cloud::kMaxMachinesPerRental);
   EXPECT_EQ(recorded_requests[1].record.count, cloud::kMaxMachinesPerRental);
   EXPECT_EQ(recorded_requests[2].record.count, 30U);
   double requested = 0;
-  manager->visit_requested([&](const wire::RentalRecord& record) { requested += record.count; });
+  manager->visit_pending_rentals([&](const wire::RentalRecord& record) { requested += record.count; });
   EXPECT_EQ(requested, 130);
-  // No more than eight at a time for one zone.
+  // At most eight requests are sent at a time for one zone.
   EXPECT_EQ(manager->request(type, false, 800, "b"), 8 * cloud::kMaxMachinesPerRental);
 }
 
-TEST_F(RentalManagerTest, RentsEvenlyOverTheZonesBeginningWithTheOneThatHasFewest) {
+TEST_F(RentalManagerTest, RentsEvenlyAcrossZonesStartingWithTheSmallest) {
   add_machines(2);
   EXPECT_EQ(manager->request(type, true, 4), 4);
   std::map<std::string, std::uint32_t> by_zone;
@@ -324,41 +326,42 @@
   EXPECT_EQ(by_zone, (std::map<std::string, std::uint32_t>{{"a", 1}, {"b", 2}, {"c", 1}}));
 }
 
-TEST_F(RentalManagerTest, RentsSteadyMachinesInTheMainZone) {
+TEST_F(RentalManagerTest, RentsOnDemandMachinesInTheMainZone) {
   settings.main_zone = "c";
   restart();
   EXPECT_EQ(manager->request(type, false, 6), 6);
   ASSERT_EQ(recorded_requests.size(), 1U);
   EXPECT_EQ(recorded_requests[0].record.zone, "c");
-  // Preemptible ones everywhere, and steady ones elsewhere once that zone has none left.
+  // Preemptible machines are requested in all zones, and on-demand machines in the other zones once the main
+  // zone has no capacity.
   EXPECT_EQ(manager->request(type, true, 6), 6);
   EXPECT_EQ(recorded_requests.size(), 4U);
   recorded_requests[0].stored();
-  rent_requests[0].done({Kind::no_capacity, {}});
+  rent_requests[0].done({Status::no_capacity, {}});
   EXPECT_EQ(manager->request(type, false, 2), 2);
   ASSERT_EQ(recorded_requests.size(), 6U);
   EXPECT_EQ(recorded_requests[4].record.zone, "a");
   EXPECT_EQ(recorded_requests[5].record.zone, "b");
 }
 
-TEST_F(RentalManagerTest, RentsNoMoreThanTheControllersCanServe) {
+TEST_F(RentalManagerTest, RentsNoMoreThanTheMachineLimit) {
   settings.machine_limit = 10;
   restart();
   add_machines(4);
   EXPECT_EQ(manager->request(type, false, 4, "a"), 4);
-  EXPECT_EQ(manager->request(type, false, 4, "a"), 2);  // the others are on their way
+  EXPECT_EQ(manager->request(type, false, 4, "a"), 2);  // the first four are requested and count
   EXPECT_EQ(manager->request(type, false, 4, "a"), 0);
 }
 
 TEST_F(RentalManagerTest, TerminatesInBatches) {
   add_machines(250);
   for (const auto& machine_id : machine_ids(250)) manager->terminate(*fleet.find(machine_id), "idle");
-  EXPECT_TRUE(terminations.empty());  // what is decided in one turn goes together
+  EXPECT_TRUE(terminations.empty());  // terminations decided in one turn of the event loop are sent together
   loop.run_posted();
   ASSERT_EQ(terminations.size(), 1U);
-  EXPECT_EQ(terminations[0].machines.size(), cloud::kMaxTerminations);
+  EXPECT_EQ(terminations[0].machines.size(), cloud::kMaxMachinesPerTermination);
   manager->send_terminations();
-  EXPECT_EQ(terminations.size(), 1U);  // one batch at a time
+  EXPECT_EQ(terminations.size(), 1U);  // only one batch is in flight at a time
 
   for (std::size_t batch = 0; batch < 3; ++batch) {
     ASSERT_EQ(terminations.size(), batch + 1);
@@ -371,7 +374,7 @@
   EXPECT_EQ(fleet.size(), 0U);
 }
 
-TEST_F(RentalManagerTest, TerminatesAMachineOnce) {
+TEST_F(RentalManagerTest, TerminatesEachMachineOnce) {
   add_machines(1);
   auto& machine = *fleet.find({"n-1000"});
   manager->terminate(machine, "idle");
@@ -384,7 +387,7 @@
   EXPECT_EQ(terminations[0].machines, machine_ids(1));
 }
 
-TEST_F(RentalManagerTest, SendsATerminationAgainWhenTheCloudFails) {
+TEST_F(RentalManagerTest, RetriesATerminationWhenTheCloudFails) {
   add_machines(2);
   terminate({"n-1000"});
   terminations[0].done(false);
@@ -400,7 +403,7 @@
   EXPECT_EQ(terminations.size(), 2U);
 }
 
-TEST_F(RentalManagerTest, TerminatesNothingWhileItMayNotAct) {
+TEST_F(RentalManagerTest, TerminatesNothingWithoutActiveLeadership) {
   add_machines(1);
   may_act = false;
   terminate({"n-1000"});
@@ -410,7 +413,7 @@
   EXPECT_EQ(terminations.size(), 1U);
 }
 
-TEST_F(RentalManagerTest, TerminatesAgainWhatIsStillThere) {
+TEST_F(RentalManagerTest, TerminatesAMachineAgainIfItStillExists) {
   add_machines(1);
   terminate({"n-1000"});
   terminations[0].done(true);
@@ -422,12 +425,12 @@
 
 TEST_F(RentalManagerTest, DoesNotAddATerminatedMachineAgain) {
   request(2);
-  rent_requests[0].done({Kind::granted, machine_ids(2)});
+  rent_requests[0].done({Status::granted, machine_ids(2)});
   terminate({"n-1000"});
   terminations[0].done(true);
   ASSERT_EQ(fleet.size(), 1U);
 
-  // Its rental is still recorded, since the other machine has no record of its own.
+  // The rental is still open, since the other machine has no record of its own yet.
   manager->reconcile_rentals();
   EXPECT_EQ(fleet.size(), 1U);
   manager->reconcile_if_due();
@@ -439,7 +442,8 @@
   EXPECT_EQ(fleet.size(), 1U);
   EXPECT_EQ(fleet.find({"n-1000"}), nullptr);
 
-  // Once the other has its record the rental is over all the same, and this outlasts the term.
+  // The rental is closed once the other machine has its record. The terminated machine is remembered beyond
+  // the term.
   fleet.find({"n-1001"})->recorded = true;
   manager->reconcile_rentals();
   EXPECT_EQ(manager->rental_count(), 0U);
@@ -448,11 +452,11 @@
   EXPECT_TRUE(manager->recently_terminated({"n-1000"}));
 }
 
-TEST(TerminatedMachines, AreForgottenAfterTheRetention) {
+TEST(TerminatedMachines, ForgetsMachinesAfterTheRetentionPeriod) {
   TerminatedMachines machines(100);
   machines.add({"n-1"}, 10);
   machines.add({"n-2"}, 60);
-  machines.add({"n-1"}, 70);  // again: counts from the first time
+  machines.add({"n-1"}, 70);  // a repeated termination does not extend the retention
   EXPECT_TRUE(machines.contains({"n-1"}));
   machines.add({"n-3"}, 110);
   EXPECT_TRUE(machines.contains({"n-1"}));
@@ -461,7 +465,7 @@
   EXPECT_TRUE(machines.contains({"n-2"}));
 }
 
-TEST_F(RentalManagerTest, AddsListedMachinesThatItDidNotExpect) {
+TEST_F(RentalManagerTest, AddsUnexpectedMachinesFromTheCloudsList) {
   manager->reconcile_if_due();
   ASSERT_EQ(list_requests.size(), 1U);
   std::vector<wire::ListedMachine> listed(2);
@@ -487,10 +491,10 @@
   EXPECT_EQ(list_requests.size(), 1U);
   loop.pass(settings.list_lag_s);
   manager->reconcile_if_due();
-  EXPECT_EQ(list_requests.size(), 1U);  // not answered yet
+  EXPECT_EQ(list_requests.size(), 1U);  // the first request has no response yet
   list_requests[0].done(std::nullopt);
   manager->reconcile_if_due();
-  EXPECT_EQ(list_requests.size(), 1U);  // not due
+  EXPECT_EQ(list_requests.size(), 1U);  // the interval starts anew with each due check
   loop.pass(settings.list_lag_s);
   manager->reconcile_if_due();
   EXPECT_EQ(list_requests.size(), 2U);
