--- a/src/leader/autoscaler.cpp
+++ b/src/leader/autoscaler.cpp
@@ -65,7 +65,7 @@
               demand.has_waiting_tasks ? ", work waits" : "");
 
   rent_missing_cores(missing.preemptible, true, offers);
-  // Exception to the design (the first open question there): alpha's share of the budget must not stay
+  // Exception to the design (the first doubt listed there): alpha's share of the budget must not stay
   // unspent while tasks wait because no preemptible type can be rented.
   if (missing.preemptible > 0 && demand.has_waiting_tasks) missing.on_demand += missing.preemptible;
   cancel_excess_drains(missing.on_demand);
@@ -228,7 +228,8 @@
 
 // Whether the job's cutoff is far enough away that its tasks can wait for machines of its pools. Such a job
 // gets no machine beyond the plan, which spreads its work over the time left. With a machine for it whenever
-// all were busy, the job had as many machines within minutes as without a calendar, and on-demand ones.
+// all were busy, the job would have as many machines within minutes as without a calendar, and on-demand
+// ones at that.
 bool Autoscaler::can_wait_for_plan(const Job& job) const {
   if (!view_.queue.cutoff(job) || !job.failed_on.empty()) return false;
   const double time_to_deadline_s = view_.queue.time_to_deadline(job, loop_.wall());
@@ -250,8 +251,8 @@
     const auto& [pool, state] = entry;
     if (!model::allows(job.spec, pool)) return false;
     if (state.totals.booting + state.totals.joining > 0 && job.spec.request.fits(state.capacity)) return true;
-    // A machine on which tasks of the job failed takes no more of them. Counting it as available, a job whose
-    // tasks had failed on all machines waited forever.
+    // A machine on which tasks of the job failed takes no more of them. If such a machine counted, a job
+    // whose tasks had failed on all machines would wait forever.
     const auto* freest = state.free_slots.empty() ? nullptr : state.free_slots.rbegin()->machine;
     return freest != nullptr && job.spec.request.fits(freest->available()) &&
            !job.failed_on.contains(freest->id);
@@ -275,8 +276,8 @@
 // Updates how many cores of on-demand machines are in excess of the plan. Excess machines take no more batch
 // tasks and are terminated once empty. Otherwise placement, which fills on-demand machines first, would keep
 // them busy forever at four times the price, while preemptible machines that are paid for stay idle. No more
-// machines are drained than idle preemptible machines can replace; otherwise drained machines would stay
-// empty while tasks wait. A machine with services is not drained.
+// machines are drained than idle preemptible machines can replace; otherwise the capacity of
+// drained machines would be unused while tasks wait. A machine with services is not drained.
 void Autoscaler::update_excess_cores(double missing_on_demand_cores) {
   double idle_preemptible = 0;
   for (const auto& [pool, state] : view_.fleet.pools())
--- a/src/leader/autoscaler.hpp
+++ b/src/leader/autoscaler.hpp
@@ -23,13 +23,13 @@
 
 namespace bankhill::leader {
 
-// Keeps the demand for services and the reclaim history, and plans the size of the fleet. Owned by the
-// leader, which calls it on events and in its periodic check of the machines.
+// Tracks the demand for services and the reclaims of preemptible machines, and plans the size of the fleet.
+// Owned by the leader, which calls it on events and in its periodic check of the machines.
 class Autoscaler {
  public:
   struct Settings {
     double control_interval_s = 3;
-    // Maximum time between two planning rounds, in seconds.
+    // Interval of the planning rounds, in seconds; also the idle limit of machines of an unknown type.
     double round_s = 15;
     // Share of the budget for preemptible machines.
     double alpha = 0.8;
--- a/src/leader/rental_manager.cpp
+++ b/src/leader/rental_manager.cpp
@@ -134,9 +134,9 @@
 
 double RentalManager::request_in_zone(const model::Pool& pool, double count) {
   // The cloud limits the machines per request, and kMaxRequestsPerPool requests at a time are enough to find
-  // out whether it has the capacity. A pool without capacity at the last request gets a single request: eight
-  // refusals for each of its types used up the cloud's request rate, and hid from the plan that other types
-  // must be rented.
+  // out whether it has the capacity. A pool without capacity at the last request gets a single request: with
+  // eight refused requests for each type, the cloud's rate limit was used up and the plan did not see that
+  // other types had to be rented.
   const int max_requests = capacity_backoff_.had_stockout(pool) ? 1 : kMaxRequestsPerPool;
   double requested = 0;
   for (int sent = 0; sent < max_requests && count >= 1; ++sent) {
@@ -266,8 +266,7 @@
   termination_pending_ = true;
   ports_.send_to_cloud(cloud::Terminate{batch, in_this_term([this, batch](bool succeeded) {
                                           termination_pending_ = false;
-                                          if (!succeeded)
-                                            return;  // the next call of send_terminations() retries
+                                          if (!succeeded) return;  // retried by the next call
                                           for (const auto& machine_id : batch) handle_terminated(machine_id);
                                         })});
 }
@@ -295,8 +294,8 @@
   if (terminated_machines_.contains(listed.id)) return;
   const auto [machine, added] = fleet_.add(listed.id);
   if (added) {
-    // The machine was rented by a request that arrived late, or before this leader began. It is used or
-    // terminated like any other machine.
+    // The machine was rented by a request that arrived late, or was already running at the start. It is used
+    // or terminated like any other machine.
     log_->debug("machine {}: listed but unexpected, adding it", listed.id.value);
     ports_.count_event("unexpected machines");
     machine->machine_type = listed.machine_type;
--- a/src/leader/rental_manager.hpp
+++ b/src/leader/rental_manager.hpp
@@ -94,8 +94,9 @@
   void end_term();
   void adopt(const std::string& name, wire::RentalRecord record);
 
-  // Records and requests up to `count` machines of a type, in one zone or, if `zone` is empty, in the zones
-  // that the type is offered in. Returns the number of machines requested.
+  // Records and requests up to `count` machines of a type, in one zone or, if `zone` is empty, in the main
+  // zone (on-demand machines) or evenly over the zones that have capacity. Returns the number of machines
+  // requested.
   double request(const wire::MachineType& machine_type, bool preemptible, double count,
                  const std::string& zone = "");
 
