--- a/src/model/boot_statistics.hpp
+++ b/src/model/boot_statistics.hpp
@@ -1,4 +1,5 @@
-// How many machines came up in time of late, and whether boots in general are bad. Pure: times are told.
+// Share of machine boots that were late recently, and whether boots are degraded in general. Pure: the caller
+// passes the decay.
 #pragma once
 
 #include <optional>
@@ -7,16 +8,17 @@
 
 class BootStatistics {
  public:
-  // One was in time or late; `rest`: the part that what was counted before still counts. Returns what is new:
-  // that boots are bad by now, or are as usual again.
-  std::optional<bool> record_boot(bool in_time, double rest);
+  // Counts a boot. `decay_factor` is the weight that earlier boots keep. Returns the new state if it changed:
+  // true if boots are degraded now, false if they are back to normal.
+  std::optional<bool> record_boot(bool in_time, double decay_factor);
+  // Number of boots counted, with earlier ones weighted by their decay.
   double weighted_count() const { return in_time_ + late_; }
   double late_share() const { return late_ / weighted_count(); }
 
  private:
   double in_time_ = 0;
   double late_ = 0;
-  bool bad_ = false;
+  bool degraded_ = false;
 };
 
 }  // namespace bankhill::model
--- a/src/model/cancellation_bound.cpp
+++ b/src/model/cancellation_bound.cpp
@@ -7,27 +7,28 @@
 namespace bankhill::model {
 
 namespace {
-// Parts of what a cancellation leaves beyond a worker's lease.
-constexpr double kReadShare = 1.0 / 3;
-constexpr double kTtlShare = 0.1;
-// Below this the read barriers, one a second each answered within one, leave a leader no time to be valid.
-constexpr double kLeastReadAgeS = 2;
+// Shares of the time that the cancellation limit allows beyond an agent's lease.
+constexpr double kReadAgeShare = 1.0 / 3;
+constexpr double kLeaderTtlShare = 0.1;
+// Below this maximum age a leader could never be valid: read barriers are sent once a second and take up to a
+// second to be answered.
+constexpr double kMinReadAgeS = 2;
 }  // namespace
 
-CancellationBound::CancellationBound(double lease_s, double cancel_s, double answer_s)
-    : lease_s_(lease_s), cancel_s_(cancel_s), answer_s_(answer_s) {
-  const double left = (cancel_s - kAllowanceS - answer_s) / kDriftAllowance - lease_s;
-  read_age_s_ = std::min(kReadShare * (cancel_s - lease_s), left);
+CancellationBound::CancellationBound(double lease_s, double cancel_s, double response_wait_s)
+    : lease_s_(lease_s), cancel_s_(cancel_s), response_wait_s_(response_wait_s) {
+  const double available_s = (cancel_s - kAllowanceS - response_wait_s) / kDriftAllowance - lease_s;
+  max_read_age_s_ = std::min(kReadAgeShare * (cancel_s - lease_s), available_s);
 }
 
-double CancellationBound::leader_ttl_s() const { return kTtlShare * (cancel_s_ - lease_s_); }
+double CancellationBound::leader_ttl_s() const { return kLeaderTtlShare * (cancel_s_ - lease_s_); }
 
 double CancellationBound::worst_case_removal_s() const {
-  return (read_age_s_ + lease_s_) * kDriftAllowance + answer_s_ + kAllowanceS;
+  return (max_read_age_s_ + lease_s_) * kDriftAllowance + response_wait_s_ + kAllowanceS;
 }
 
 bool CancellationBound::is_feasible() const {
-  return read_age_s_ >= kLeastReadAgeS && worst_case_removal_s() <= cancel_s_;
+  return max_read_age_s_ >= kMinReadAgeS && worst_case_removal_s() <= cancel_s_;
 }
 
 std::string CancellationBound::describe() const {
@@ -35,8 +36,8 @@
       "a cancelled task is gone within {:.1f} of {:.1f} s: {:.1f} since the leader last read the state, "
       "{:.1f} "
       "for a report under way, {:.1f} of the worker's lease, {:.1f} for drift and late ends",
-      worst_case_removal_s(), cancel_s_, read_age_s_, answer_s_, lease_s_,
-      (read_age_s_ + lease_s_) * (kDriftAllowance - 1) + kAllowanceS);
+      worst_case_removal_s(), cancel_s_, max_read_age_s_, response_wait_s_, lease_s_,
+      (max_read_age_s_ + lease_s_) * (kDriftAllowance - 1) + kAllowanceS);
 }
 
 }  // namespace bankhill::model
--- a/src/model/cancellation_bound.hpp
+++ b/src/model/cancellation_bound.hpp
@@ -1,6 +1,7 @@
-// How long a task of a cancelled job can still be on a machine, computed once from the platform's settings
-// (docs/SAFETY.md, invariant 34). What limits the leader's validity follows from it.
-// Units: seconds. Errors: none thrown; settings for which it cannot hold say so by is_feasible().
+// Upper bound on the time for which a task of a cancelled job can remain on a machine, computed once from the
+// platform's settings (docs/SAFETY.md, invariant 34). The limits on the leader's lease and on the age of its
+// state follow from it.
+// Units: seconds. Errors: none thrown; is_feasible() is false for settings under which the bound cannot hold.
 // Source: PROTOCOL, "Leases", "Outages and cuts" and the rule ran_cancelled.
 #pragma once
 
@@ -8,33 +9,34 @@
 
 namespace bankhill::model {
 
-// A worker's lease has surely run out after this much more, its clock running slow: steady clocks differ by
-// up to 0.05 % each way.
+// Factor on a duration after which it has passed on every machine: steady clocks drift by up to 0.05 % in
+// either direction.
 constexpr double kDriftAllowance = 1.002;
-// And this much, for what ends late: a lease, a step of a process.
+// Added to such a duration for timers that fire late: the end of a lease or a step of a process.
 constexpr double kAllowanceS = 1;
 
 class CancellationBound {
  public:
-  // `answer_s`: that a worker waits for the answer to a heartbeat.
-  CancellationBound(double lease_s, double cancel_s, double answer_s);
+  // `cancel_s`: time within which tasks of a cancelled job must be gone; `response_wait_s`: time for which an
+  // agent waits for the response to a heartbeat.
+  CancellationBound(double lease_s, double cancel_s, double response_wait_s);
 
-  // The age that the leader's last read barrier may have, counted from its sending: a leader whose knowledge
-  // is older extends no worker's lease. It is cut where the settings leave less.
-  double max_read_age_s() const { return read_age_s_; }
-  // Time-to-live of the leader's lease: well within it, so that another takes over in time.
+  // Maximum age of the leader's last read barrier, counted from when it was sent: a leader whose state is
+  // older renews no agent's lease. Reduced where the settings leave less time.
+  double max_read_age_s() const { return max_read_age_s_; }
+  // Time-to-live of the leader's lease: well below the bound, so that a successor takes over in time.
   double leader_ttl_s() const;
-  // From the commit of a cancellation to the last moment at which a task of it can be on a machine.
+  // Longest time from the commit of a cancellation until no task of the job can be on any machine.
   double worst_case_removal_s() const;
   bool is_feasible() const;
-  // The sum in words.
+  // The terms of the bound with their values, for operators.
   std::string describe() const;
 
  private:
   double lease_s_;
   double cancel_s_;
-  double answer_s_;
-  double read_age_s_;
+  double response_wait_s_;
+  double max_read_age_s_;
 };
 
 }  // namespace bankhill::model
--- a/src/model/capacity_backoff.cpp
+++ b/src/model/capacity_backoff.cpp
@@ -5,22 +5,25 @@
 namespace bankhill::model {
 
 namespace {
-constexpr double kPause = 0.5;  // in rounds, doubled up to the next
-constexpr double kMost = 4;
+// Shortest and longest back-off time, in planning rounds.
+constexpr double kMinBackoffRounds = 0.5;
+constexpr double kMaxBackoffRounds = 4;
 }  // namespace
 
 void CapacityBackoff::record_stockout(const Pool& pool, double now, double round_s) {
-  auto& out = known_[pool];
-  // Once for the answers of one burst: doubled by each, the pause was four rounds at once, and rooms that
-  // came free meanwhile were not rented while hundreds of jobs waited (inc-8bf1).
-  if (now < out.until) return;
-  out.pause = std::min(std::max(kPause, out.pause * 2), kMost);
-  out.until = now + out.pause * round_s;
+  auto& stockout = stockouts_[pool];
+  // The responses to one burst of requests count once. When each of them doubled the back-off, it reached
+  // four rounds at once, and capacity that became available was not rented while hundreds of jobs waited
+  // (inc-8bf1).
+  if (now < stockout.until) return;
+  stockout.backoff_rounds =
+      std::min(std::max(kMinBackoffRounds, stockout.backoff_rounds * 2), kMaxBackoffRounds);
+  stockout.until = now + stockout.backoff_rounds * round_s;
 }
 
 bool CapacityBackoff::can_request(const Pool& pool, double now) const {
-  const auto out = known_.find(pool);
-  return out == known_.end() || now >= out->second.until;
+  const auto stockout = stockouts_.find(pool);
+  return stockout == stockouts_.end() || now >= stockout->second.until;
 }
 
 }  // namespace bankhill::model
--- a/src/model/capacity_backoff.hpp
+++ b/src/model/capacity_backoff.hpp
@@ -1,5 +1,4 @@
-// What the cloud had none of, by type, zone and kind, and until when it is not asked again. Pure: times are
-// told.
+// Back-off for rental requests after the cloud lacked capacity, by pool. Pure: the caller passes the times.
 #pragma once
 
 #include <map>
@@ -10,20 +9,22 @@
 
 class CapacityBackoff {
  public:
-  // It had less than was asked for; pauses double from a part of a round to some rounds.
+  // Records that the cloud provided less than was requested. Back-off times double from half a planning round
+  // to four rounds.
   void record_stockout(const Pool& pool, double now, double round_s);
-  void reset(const Pool& pool) { known_.erase(pool); }
+  // Records that the cloud provided all that was requested.
+  void reset(const Pool& pool) { stockouts_.erase(pool); }
   bool can_request(const Pool& pool, double now) const;
-  // It had none the last time.
-  bool had_stockout(const Pool& pool) const { return known_.contains(pool); }
-  void clear() { known_.clear(); }
+  // Whether the last request for the pool met a lack of capacity.
+  bool had_stockout(const Pool& pool) const { return stockouts_.contains(pool); }
+  void clear() { stockouts_.clear(); }
 
  private:
   struct Stockout {
     double until = 0;
-    double pause = 0;  // in rounds
+    double backoff_rounds = 0;  // current back-off time, in planning rounds
   };
-  std::map<Pool, Stockout> known_;
+  std::map<Pool, Stockout> stockouts_;
 };
 
 }  // namespace bankhill::model
--- a/src/model/decay.hpp
+++ b/src/model/decay.hpp
@@ -1,16 +1,17 @@
-// How what is counted of boots and preemptions is forgotten.
+// Exponential decay of the counts of boots and preemptions.
 #pragma once
 
 #include <cmath>
 
 namespace bankhill::model {
 
-// Rounds after which a boot or a preemption counts a third: a wave passes.
-constexpr double kMemoryRounds = 4;
+// Time constant of the decay in planning rounds: after it a boot or a preemption counts about a third, so
+// that a wave of them has no lasting effect.
+constexpr double kDecayRounds = 4;
 
-// The part that something still counts `passed_s` after it was counted.
-inline double decay(double passed_s, double round_s) {
-  return std::exp(-passed_s / (kMemoryRounds * round_s));
+// Weight of an event `elapsed_s` after it was counted.
+inline double decay(double elapsed_s, double round_s) {
+  return std::exp(-elapsed_s / (kDecayRounds * round_s));
 }
 
 }  // namespace bankhill::model
--- a/src/model/dependency_graph.cpp
+++ b/src/model/dependency_graph.cpp
@@ -9,18 +9,18 @@
 using wire::JobId;
 
 DependencyInfo dependency_info(wire::JobState phase, wire::KeyRevision revision) {
-  DependencyInfo fact;
-  fact.state = phase == wire::JobState::accepted ? DependencyInfo::State::accepted
+  DependencyInfo info;
+  info.state = phase == wire::JobState::accepted ? DependencyInfo::State::accepted
                : phase == wire::JobState::done   ? DependencyInfo::State::done
                                                  : DependencyInfo::State::cancelled;
-  fact.revision = revision;
-  return fact;
+  info.revision = revision;
+  return info;
 }
 
 DependencyInfo missing_dependency() {
-  DependencyInfo fact;
-  fact.state = DependencyInfo::State::missing;
-  return fact;
+  DependencyInfo info;
+  info.state = DependencyInfo::State::missing;
+  return info;
 }
 
 const DependencyGraph::Node* DependencyGraph::find(const JobId& id) const {
@@ -28,59 +28,59 @@
   return found == nodes_.end() ? nullptr : &found->second;
 }
 
-void DependencyGraph::add(const JobId& id, const DependencyInfo& fact, const std::vector<JobId>& needs,
+void DependencyGraph::add(const JobId& id, const DependencyInfo& info, const std::vector<JobId>& dependencies,
                           bool incomplete, const LookUp& look_up) {
-  auto [entry, fresh] = nodes_.try_emplace(id);
+  auto [entry, inserted] = nodes_.try_emplace(id);
   auto& node = entry->second;
-  if (node.waits) return;
-  if (!fresh && node.info.state == State::unknown) --unknown_;
-  node.info = fact;
-  node.waits = true;
-  node.dependencies = needs;
-  node.open = incomplete ? 1 : 0;
-  bool doomed = false;
-  for (const auto& need : needs) {
-    auto [other, added] = nodes_.try_emplace(need);
-    auto& upstream = other->second;
+  if (node.has_dependencies) return;
+  if (!inserted && node.info.state == State::unknown) --unknown_count_;
+  node.info = info;
+  node.has_dependencies = true;
+  node.dependencies = dependencies;
+  node.unmet_count = incomplete ? 1 : 0;
+  bool any_cancelled = false;
+  for (const auto& dependency : dependencies) {
+    auto [upstream_entry, added] = nodes_.try_emplace(dependency);
+    auto& upstream = upstream_entry->second;
     if (added) {
-      upstream.info = look_up(need);
+      upstream.info = look_up(dependency);
       upstream.cancelled = upstream.info.state == State::cancelled;
       if (upstream.info.state == State::unknown) {
-        ++unknown_;
-        unknown_ids_.push_back(need);
+        ++unknown_count_;
+        unknown_ids_.push_back(dependency);
       }
-      weigh(need, upstream);
+      recompute_node(dependency, upstream);
     }
     upstream.dependents.insert(id);
-    doomed = doomed || upstream.cancelled;
+    any_cancelled = any_cancelled || upstream.cancelled;
     if (upstream.info.state != State::done) {
-      ++node.open;
+      ++node.unmet_count;
       continue;
     }
     node.ready_revision = std::max(node.ready_revision, upstream.info.revision);
     node.ready_at = std::max(node.ready_at, upstream.info.ended_at);
   }
-  weigh(id, node);
-  if (doomed) return cancel(id);
-  if (node.open == 0) updates_.ready.push_back(id);
-  raise(id);
+  recompute_node(id, node);
+  if (any_cancelled) return cancel_with_dependents(id);
+  if (node.unmet_count == 0) updates_.ready.push_back(id);
+  propagate(id);
 }
 
-void DependencyGraph::update(const JobId& id, const DependencyInfo& fact) {
+void DependencyGraph::update(const JobId& id, const DependencyInfo& info) {
   const auto found = nodes_.find(id);
   if (found == nodes_.end()) return;
   auto& node = found->second;
   const auto before = node.info.state;
-  if (before == State::done || before == State::cancelled || fact.state == State::unknown) return;
-  if (before == State::unknown) --unknown_;
-  node.info = fact;
-  if (fact.state == State::done) done(node);
-  if (fact.state == State::cancelled) cancel(id);
-  if (fact.state == State::done || fact.state == State::cancelled)
-    detach(id, node);
-  else if (weigh(id, node))
-    raise(id);
-  drop_if_idle(id);
+  if (before == State::done || before == State::cancelled || info.state == State::unknown) return;
+  if (before == State::unknown) --unknown_count_;
+  node.info = info;
+  if (info.state == State::done) release_dependents(node);
+  if (info.state == State::cancelled) cancel_with_dependents(id);
+  if (info.state == State::done || info.state == State::cancelled)
+    remove_dependencies(id, node);
+  else if (recompute_node(id, node))
+    propagate(id);
+  erase_if_unused(id);
 }
 
 std::vector<JobId> DependencyGraph::take_unknown() {
@@ -91,103 +91,110 @@
   return std::exchange(unknown_ids_, {});
 }
 
-// An end costs its own edges and no more.
-void DependencyGraph::done(const Node& node) {
+// Updates the dependents of a job that is done. The cost is proportional to their number.
+void DependencyGraph::release_dependents(const Node& node) {
   for (const auto& id : node.dependents) {
-    auto& next = nodes_.at(id);
-    next.ready_revision = std::max(next.ready_revision, node.info.revision);
-    next.ready_at = std::max(next.ready_at, node.info.ended_at);
-    if (--next.open == 0 && !next.cancelled) updates_.ready.push_back(id);
+    auto& dependent = nodes_.at(id);
+    dependent.ready_revision = std::max(dependent.ready_revision, node.info.revision);
+    dependent.ready_at = std::max(dependent.ready_at, node.info.ended_at);
+    if (--dependent.unmet_count == 0 && !dependent.cancelled) updates_.ready.push_back(id);
   }
 }
 
-// Marks it and all that needs it, each once.
-void DependencyGraph::cancel(const JobId& first) {
+// Marks the job and all direct and indirect dependents as cancelled, each once.
+void DependencyGraph::cancel_with_dependents(const JobId& first) {
   std::vector<JobId> marked{first};
-  Upward upward;
+  UpdateQueue queue;
   while (!marked.empty()) {
     const auto id = std::move(marked.back());
     marked.pop_back();
     auto& node = nodes_.at(id);
     if (std::exchange(node.cancelled, true)) continue;
     if (node.info.state != State::cancelled) updates_.cancelled.push_back(id);
-    for (const auto& later : node.dependents) marked.push_back(later);
-    for (const auto& need : node.dependencies) upward.emplace(nodes_.at(need).info.revision, need);
+    for (const auto& dependent : node.dependents) marked.push_back(dependent);
+    for (const auto& dependency : node.dependencies)
+      queue.emplace(nodes_.at(dependency).info.revision, dependency);
   }
-  lower(std::move(upward));
+  recompute(std::move(queue));
 }
 
-// A job that is over needs nothing any more.
-void DependencyGraph::detach(const JobId& id, Node& node) {
-  Upward upward;
-  for (const auto& need : std::exchange(node.dependencies, {})) {
-    auto& upstream = nodes_.at(need);
+// Removes the dependencies of a job that has ended.
+void DependencyGraph::remove_dependencies(const JobId& id, Node& node) {
+  UpdateQueue queue;
+  for (const auto& dependency : std::exchange(node.dependencies, {})) {
+    auto& upstream = nodes_.at(dependency);
     upstream.dependents.erase(id);
-    upward.emplace(upstream.info.revision, need);
+    queue.emplace(upstream.info.revision, dependency);
   }
-  node.waits = false;
-  lower(std::move(upward));
+  node.has_dependencies = false;
+  recompute(std::move(queue));
 }
 
-// Passes rank and goal of a job up, as far as they change something. Every job was accepted after all that it
-// needs, so that in falling order of acceptance each edge is walked once, however many ways lead up.
-void DependencyGraph::raise(const JobId& id) {
-  Upward changed{{nodes_.at(id).info.revision, id}};
+// Propagates the priority and deadline of a job to its direct and indirect dependencies as far as they
+// change. Every job was accepted after all jobs that it depends on, so in descending order of acceptance each
+// edge is visited once, however many paths there are.
+void DependencyGraph::propagate(const JobId& id) {
+  UpdateQueue changed{{nodes_.at(id).info.revision, id}};
   while (!changed.empty()) {
     const auto last = std::prev(changed.end());
     const auto& from = nodes_.at(last->second);
     changed.erase(last);
-    for (const auto& need : from.dependencies)
-      if (auto& upstream = nodes_.at(need); take_over(upstream, from))
-        changed.emplace(upstream.info.revision, need);
+    for (const auto& dependency : from.dependencies)
+      if (auto& upstream = nodes_.at(dependency); inherit_from(upstream, from))
+        changed.emplace(upstream.info.revision, dependency);
   }
 }
 
-// After jobs below these are over: what they passed up no longer counts.
-void DependencyGraph::lower(Upward upward) {
-  while (!upward.empty()) {
-    const auto last = std::prev(upward.end());
+// Recomputes the priority and deadline of these jobs, and of the jobs they depend on as far as they change,
+// after dependents have ended or were cancelled.
+void DependencyGraph::recompute(UpdateQueue queue) {
+  while (!queue.empty()) {
+    const auto last = std::prev(queue.end());
     const auto id = last->second;
-    upward.erase(last);
+    queue.erase(last);
     const auto found = nodes_.find(id);
     if (found == nodes_.end()) continue;
-    if (weigh(id, found->second))
-      for (const auto& need : found->second.dependencies) upward.emplace(nodes_.at(need).info.revision, need);
-    drop_if_idle(id);
+    if (recompute_node(id, found->second))
+      for (const auto& dependency : found->second.dependencies)
+        queue.emplace(nodes_.at(dependency).info.revision, dependency);
+    erase_if_unused(id);
   }
 }
 
-// Whether rank or goal changed for the sake of a job that needs this one.
-bool DependencyGraph::take_over(Node& node, const Node& later) const {
-  const bool higher = later.priority > node.priority;
-  if (higher) node.priority = later.priority;
-  const bool sooner = later.goal.latest() - later.info.duration_s < node.goal.latest();
-  if (sooner)
-    node.goal = {later.goal.job_id, later.goal.deadline_at, later.goal.downstream_s + later.info.duration_s};
-  return higher || sooner;
+// Raises the priority or tightens the deadline of a node to that of a dependent. Returns whether it changed.
+bool DependencyGraph::inherit_from(Node& node, const Node& dependent) const {
+  const bool raised = dependent.priority > node.priority;
+  if (raised) node.priority = dependent.priority;
+  const bool tightened =
+      dependent.deadline.latest_end_at() - dependent.info.duration_s < node.deadline.latest_end_at();
+  if (tightened)
+    node.deadline = {dependent.deadline.job_id, dependent.deadline.deadline_at,
+                     dependent.deadline.downstream_s + dependent.info.duration_s};
+  return raised || tightened;
 }
 
-// Rank and goal anew; whether they changed.
-bool DependencyGraph::weigh(const JobId& id, Node& node) const {
+// Recomputes the priority and deadline of a node from its dependents. Returns whether they changed.
+bool DependencyGraph::recompute_node(const JobId& id, Node& node) const {
   const auto priority = std::exchange(node.priority, node.info.priority);
-  const auto goal = std::exchange(
-      node.goal, std::isinf(node.info.deadline_at) ? Goal{} : Goal{id, node.info.deadline_at, 0});
-  for (const auto& later : node.dependents)
-    if (const auto* next = find(later); !next->cancelled) take_over(node, *next);
-  return priority != node.priority || goal != node.goal;
+  const auto deadline = std::exchange(node.deadline, std::isinf(node.info.deadline_at)
+                                                         ? EffectiveDeadline{}
+                                                         : EffectiveDeadline{id, node.info.deadline_at, 0});
+  for (const auto& dependent_id : node.dependents)
+    if (const auto* dependent = find(dependent_id); !dependent->cancelled) inherit_from(node, *dependent);
+  return priority != node.priority || deadline != node.deadline;
 }
 
-// Kept are live jobs that wait, and what they name.
-void DependencyGraph::drop_if_idle(const JobId& id) {
+// Erases a job unless it is live with dependencies or such a job depends on it.
+void DependencyGraph::erase_if_unused(const JobId& id) {
   const auto found = nodes_.find(id);
-  if (found == nodes_.end() || found->second.waits || !found->second.dependents.empty()) return;
-  if (found->second.info.state == State::unknown) --unknown_;
+  if (found == nodes_.end() || found->second.has_dependencies || !found->second.dependents.empty()) return;
+  if (found->second.info.state == State::unknown) --unknown_count_;
   nodes_.erase(found);
 }
 
 bool DependencyGraph::is_ready(const JobId& id) const {
   const auto* node = find(id);
-  return node == nullptr || (node->open == 0 && !node->cancelled);
+  return node == nullptr || (node->unmet_count == 0 && !node->cancelled);
 }
 
 bool DependencyGraph::is_cancelled(const JobId& id) const {
@@ -195,17 +202,17 @@
   return node != nullptr && node->cancelled;
 }
 
-// One unknown job must leave those that do not need it alone.
+// A job of unknown state must not affect jobs that do not depend on it.
 bool DependencyGraph::may_be_cancelled(const JobId& id) const {
-  if (unknown_ == 0 || is_ready(id) || is_cancelled(id)) return false;
-  std::set<JobId> seen{id};
-  std::vector<JobId> look{id};
-  while (!look.empty()) {
-    const auto& node = nodes_.at(look.back());
-    look.pop_back();
+  if (unknown_count_ == 0 || is_ready(id) || is_cancelled(id)) return false;
+  std::set<JobId> visited{id};
+  std::vector<JobId> pending{id};
+  while (!pending.empty()) {
+    const auto& node = nodes_.at(pending.back());
+    pending.pop_back();
     if (node.info.state == State::unknown) return true;
-    for (const auto& need : node.dependencies)
-      if (seen.insert(need).second) look.push_back(need);
+    for (const auto& dependency : node.dependencies)
+      if (visited.insert(dependency).second) pending.push_back(dependency);
   }
   return false;
 }
@@ -235,23 +242,23 @@
   return node == nullptr ? own : std::max(own, node->priority);
 }
 
-DependencyGraph::Goal DependencyGraph::effective_deadline(const JobId& id) const {
+DependencyGraph::EffectiveDeadline DependencyGraph::effective_deadline(const JobId& id) const {
   const auto* node = find(id);
-  return node == nullptr ? Goal{} : node->goal;
+  return node == nullptr ? EffectiveDeadline{} : node->deadline;
 }
 
-std::vector<JobId> DependencyGraph::unmet_dependencies(const JobId& id, std::size_t most,
+std::vector<JobId> DependencyGraph::unmet_dependencies(const JobId& id, std::size_t max_count,
                                                        std::size_t& count) const {
-  std::vector<JobId> open;
+  std::vector<JobId> unmet;
   count = 0;
   const auto* node = find(id);
-  if (node == nullptr) return open;
-  count = node->open;
-  for (const auto& need : node->dependencies) {
-    if (open.size() >= most) break;
-    if (nodes_.at(need).info.state != State::done) open.push_back(need);
+  if (node == nullptr) return unmet;
+  count = node->unmet_count;
+  for (const auto& dependency : node->dependencies) {
+    if (unmet.size() >= max_count) break;
+    if (nodes_.at(dependency).info.state != State::done) unmet.push_back(dependency);
   }
-  return open;
+  return unmet;
 }
 
 }  // namespace bankhill::model
--- a/src/model/downlink_health.hpp
+++ b/src/model/downlink_health.hpp
@@ -1,11 +1,11 @@
-// Whether a machine hears what it is told, judged by what its heartbeats show of the answers before them.
-// Pure: the times are told. Its reports may arrive while answers and commands do not reach it: such a machine
-// looks fresh and empty.
+// Tells whether responses and commands reach a machine (its downlink), judged by what its heartbeats show of
+// the responses before them. Heartbeats may arrive while responses and commands do not: such a machine looks
+// up to date and empty. Pure: the caller passes the times.
 //
-// Proof that an answer was lost is a later heartbeat in its turn: a worker has one heartbeat under way at a
-// time, and drops an answer that comes after the next heartbeat has gone. It proves nothing about who lost
-// it, machine, controller or network: so the machine is asked directly before it counts as lost, and an
-// answer to that clears it.
+// A later heartbeat in sequence can prove that a response was lost: an agent has one heartbeat outstanding at
+// a time and drops a response that arrives after it has sent the next one. This does not prove whether the
+// machine, the controller or the network lost the response. So the machine is probed directly before its
+// downlink counts as lost, and a response to the probe clears it.
 #pragma once
 
 #include <cstdint>
@@ -18,46 +18,50 @@
 
 class DownlinkHealth {
  public:
-  // What a heartbeat that came in its turn shows.
+  // What a heartbeat received in sequence shows.
   struct Evidence {
     std::uint64_t sequence = 0;
     wire::AgentEpoch agent_epoch;
     wire::FencingToken fencing_token;
-    std::string forwarded_by;  // the controller that it came through; empty: the leader itself
-    bool lost_start = false;   // a start that an earlier answer carried is not listed
-    bool ran_start = false;    // one is listed for the first time
-    bool alone = false;        // no other controller is there: a worker comes back here whatever it heard
+    std::string forwarded_by;       // controller that forwarded the heartbeat; empty: the leader received it
+    bool start_missing = false;     // the task of a start in an earlier response is not listed
+    bool new_start_listed = false;  // the task of a start in an earlier response is listed for the first time
+    // The leader is the only controller, so the agent returns to it whether or not it received a response.
+    bool only_controller = false;
   };
   enum class State { healthy, probing, lost };
 
-  // A report was answered with the right to give orders.
+  // Records a response that was sent while this controller was allowed to give commands.
   void response_sent(double now, std::uint64_t sequence, wire::AgentEpoch agent_epoch,
-                     wire::FencingToken fencing_token, const std::string& by);
-  // A newer heartbeat came in its turn.
-  void heartbeat_received(double now, const HeartbeatTiming& times, const Evidence& shown);
-  // A start sent directly was not answered. That may be our own link: it is asked, and no more is held
-  // against it.
+                     wire::FencingToken fencing_token, const std::string& forwarded_by);
+  // Evaluates a new heartbeat that was received in sequence.
+  void heartbeat_received(double now, const HeartbeatTiming& timing, const Evidence& evidence);
+  // Records that a direct start command was not answered. The fault may be this controller's own link, so the
+  // machine is probed but the failure does not count towards the back-off.
   void command_unanswered(double now);
-  // A direct request was sent, answered, or not answered in time.
-  void probe_sent(double now, const HeartbeatTiming& times);
-  void probe_ended(double now, const HeartbeatTiming& times, bool reached);
+  // Record that a direct probe was sent, and that it was answered or timed out.
+  void probe_sent(double now, const HeartbeatTiming& timing);
+  void probe_ended(double now, const HeartbeatTiming& timing, bool answered);
 
   State state() const { return state_; }
   bool takes_tasks() const { return state_ == State::healthy; }
-  bool probe_due(double now) const { return state_ != State::healthy && now >= next_probe_; }
-  // Asked in vain more than once: others are rented in its place.
-  bool considered_lost() const { return state_ == State::lost && unanswered_ >= kLostAfterProbes; }
-  // To be returned to the cloud.
-  bool should_terminate(double now, const HeartbeatTiming& times) const;
-  double suspect_since() const { return since_; }  // steady clock: when it became suspect
+  bool probe_due(double now) const { return state_ != State::healthy && now >= next_probe_at_; }
+  // Whether more than one probe in a row got no response, so that replacements are rented.
+  bool considered_lost() const {
+    return state_ == State::lost && unanswered_probes_ >= kConsideredLostProbes;
+  }
+  // Whether the downlink has been lost for so long that the machine is to be terminated.
+  bool should_terminate(double now, const HeartbeatTiming& timing) const;
+  double suspect_since() const { return suspect_since_; }  // on the steady clock
 
-  // When a heartbeat last showed that an answer of a peer was heard, or lost: tells a leader that is not
-  // heard from machines that do not hear.
-  double peer_response_received_at() const { return heard_by_peer_; }
-  double peer_response_lost_at() const { return lost_by_peer_; }
+  // Times of the last heartbeat which showed that a response sent through a peer was received, or was lost.
+  // They distinguish a leader whose own responses are lost from machines with a faulty downlink.
+  double peer_response_received_at() const { return peer_response_received_at_; }
+  double peer_response_lost_at() const { return peer_response_lost_at_; }
 
  private:
-  static constexpr std::uint32_t kLostAfterProbes = 2;
+  static constexpr std::uint32_t kConsideredLostProbes = 2;
+  // The last response sent to the machine.
   struct Response {
     std::uint64_t sequence = 0;  // 0: none
     wire::AgentEpoch agent_epoch;
@@ -65,19 +69,23 @@
     std::string forwarded_by;
     double sent_at = 0;
   };
-  void suspect(double now, double pause_s);
-  double pause(const HeartbeatTiming& times, std::uint32_t times_before) const;
+  // Starts probing; the machine is probed and may be used again after `retry_after_s`.
+  void mark_suspect(double now, double retry_after_s);
+  // Delay before the next probe: doubles with each earlier attempt, at most a lease.
+  double backoff_s(const HeartbeatTiming& timing, std::uint32_t attempts) const;
 
   State state_ = State::healthy;
-  Response last_;
-  double since_ = 0;
-  wire::AgentEpoch suspected_epoch_;  // in which it became suspect
-  double next_probe_ = 0;
-  double hold_until_ = 0;         // one that fell back so soon is not used again before
-  std::uint32_t unanswered_ = 0;  // questions, since it became suspect
-  std::uint32_t relapses_ = 0;    // suspect again without an answer proved heard in between
-  double heard_by_peer_ = -1e9;
-  double lost_by_peer_ = -1e9;
+  Response last_response_;
+  double suspect_since_ = 0;
+  wire::AgentEpoch suspected_epoch_;  // agent epoch at the time the downlink became suspect
+  double next_probe_at_ = 0;
+  // Earliest time at which the machine is used again: later if its downlink has failed repeatedly.
+  double unusable_until_ = 0;
+  std::uint32_t unanswered_probes_ = 0;  // since the downlink became suspect
+  // How often the downlink became suspect after a lost response without a received start in between.
+  std::uint32_t recurrences_ = 0;
+  double peer_response_received_at_ = -1e9;
+  double peer_response_lost_at_ = -1e9;
 };
 
 }  // namespace bankhill::model
--- a/src/model/fleet.cpp
+++ b/src/model/fleet.cpp
@@ -10,50 +10,51 @@
 
 namespace {
 constexpr double kRounding = 1e-6;
-// Machines with enough cores that are looked at for one task and pool: the first mostly does; where memory or
-// failures rule out many, a task waits rather than cost a scan of the fleet.
-constexpr int kLook = 24;
-
-void subtract(FleetTotals& from, const FleetTotals& what) {
-  from.up -= what.up;
-  from.overdue -= what.overdue;
-  from.downlink_lost -= what.downlink_lost;
-  from.booting -= what.booting;
-  from.joining -= what.joining;
-  from.unconfirmed -= what.unconfirmed;
-  from.unconfirmed_capacity -= what.unconfirmed_capacity;
-  from.cores -= what.cores;
-  from.free_cores -= what.free_cores;
-  if (from.unconfirmed == 0) from.unconfirmed_capacity = {};
-}
-
-FleetTotals part_of(const Machine& machine) {
-  FleetTotals part;
+// Maximum number of machines with enough cores that are tried for one task and pool. The first is usually
+// suitable; where memory or earlier failures rule out many, the task waits so that no task costs a scan of
+// the fleet.
+constexpr int kMaxMachinesTried = 24;
+
+void subtract(FleetTotals& totals, const FleetTotals& other) {
+  totals.up -= other.up;
+  totals.overdue -= other.overdue;
+  totals.downlink_lost -= other.downlink_lost;
+  totals.booting -= other.booting;
+  totals.joining -= other.joining;
+  totals.unconfirmed -= other.unconfirmed;
+  totals.unconfirmed_capacity -= other.unconfirmed_capacity;
+  totals.cores -= other.cores;
+  totals.free_cores -= other.free_cores;
+  if (totals.unconfirmed == 0) totals.unconfirmed_capacity = {};
+}
+
+FleetTotals contribution_of(const Machine& machine) {
+  FleetTotals contribution;
   const bool stays = !machine.draining && !machine.terminating;
-  part.up = machine.up ? 1 : 0;
-  part.overdue = machine.up && machine.overdue ? 1 : 0;
-  part.downlink_lost =
+  contribution.up = machine.up ? 1 : 0;
+  contribution.overdue = machine.up && machine.overdue ? 1 : 0;
+  contribution.downlink_lost =
       machine.up && !machine.overdue && (machine.uplink != UplinkState::up || !machine.downlink.takes_tasks())
           ? 1
           : 0;
-  part.booting = !machine.up && !machine.boot_overdue && stays ? 1 : 0;
-  part.joining = machine.up && stays && !machine.overdue && !machine.lease_expired &&
-                         machine.uplink == UplinkState::up && machine.downlink.takes_tasks() &&
-                         !machine.takes_tasks()
-                     ? 1
-                     : 0;
+  contribution.booting = !machine.up && !machine.boot_overdue && stays ? 1 : 0;
+  contribution.joining = machine.up && stays && !machine.overdue && !machine.lease_expired &&
+                                 machine.uplink == UplinkState::up && machine.downlink.takes_tasks() &&
+                                 !machine.takes_tasks()
+                             ? 1
+                             : 0;
   if (machine.inherited && !machine.confirmed) {
-    part.unconfirmed = 1;
-    part.unconfirmed_capacity = machine.capacity;
+    contribution.unconfirmed = 1;
+    contribution.unconfirmed_capacity = machine.capacity;
   }
-  part.cores = stays && !machine.downlink.considered_lost() && machine.uplink != UplinkState::lost &&
-                       (machine.up || !machine.boot_overdue)
-                   ? machine.capacity.cores
-                   : 0;
-  part.free_cores = machine.takes_tasks() && !machine.overdue ? machine.available().cores : 0;
-  // More may be kept than is free yet.
-  if (machine.reserved.cores > 0) part.free_cores = std::max(0.0, part.free_cores);
-  return part;
+  contribution.cores = stays && !machine.downlink.considered_lost() && machine.uplink != UplinkState::lost &&
+                               (machine.up || !machine.boot_overdue)
+                           ? machine.capacity.cores
+                           : 0;
+  contribution.free_cores = machine.takes_tasks() && !machine.overdue ? machine.available().cores : 0;
+  // Reservations may exceed the resources that are free yet.
+  if (machine.reserved.cores > 0) contribution.free_cores = std::max(0.0, contribution.free_cores);
+  return contribution;
 }
 }  // namespace
 
@@ -99,7 +100,7 @@
 void Fleet::erase(const wire::MachineId& machine_id) {
   const auto found = machines_.find(machine_id);
   if (found == machines_.end()) return;
-  unlist(found->second);
+  remove_from_index(found->second);
   machines_.erase(found);
 }
 
@@ -110,46 +111,48 @@
   cursor_ = {};
 }
 
-void Fleet::unlist(Machine& machine) {
-  auto& listed = machine.index_entry;
-  if (!listed) return;
-  auto& pool = *listed->pool;
-  subtract(pool.totals, listed->part);
-  subtract(total_, listed->part);
-  if (listed->open) {
-    const Slot slot{listed->cores, machine.number, &machine};
+void Fleet::remove_from_index(Machine& machine) {
+  auto& entry = machine.index_entry;
+  if (!entry) return;
+  auto& pool = *entry->pool;
+  subtract(pool.totals, entry->contribution);
+  subtract(total_, entry->contribution);
+  if (entry->has_free_slot) {
+    const FreeSlot slot{entry->cores, machine.number, &machine};
     pool.free_slots.erase(slot);
-    for (const auto& image : machine.images) pool.with_image[image].erase(slot);
+    for (const auto& image : machine.images) pool.free_slots_by_image[image].erase(slot);
   }
-  listed.reset();
+  entry.reset();
 }
 
 void Fleet::refresh(Machine& machine) {
-  unlist(machine);
+  remove_from_index(machine);
   const auto pool = pools_.try_emplace({machine.machine_type, machine.zone, machine.preemptible}).first;
   auto& state = pool->second;
   state.capacity = machine.capacity;
-  IndexEntry listed{&state, part_of(machine), false, 0};
-  state.totals += listed.part;
-  total_ += listed.part;
-  const auto room = machine.available();
-  if (machine.takes_tasks() && !machine.overdue && room.cores > kRounding) {
-    listed.open = true;
-    listed.cores = room.cores;
-    const Slot slot{room.cores, machine.number, &machine};
+  IndexEntry entry{&state, contribution_of(machine), false, 0};
+  state.totals += entry.contribution;
+  total_ += entry.contribution;
+  const auto available = machine.available();
+  if (machine.takes_tasks() && !machine.overdue && available.cores > kRounding) {
+    entry.has_free_slot = true;
+    entry.cores = available.cores;
+    const FreeSlot slot{available.cores, machine.number, &machine};
     state.free_slots.insert(slot);
-    for (const auto& image : machine.images) state.with_image[image].insert(slot);
+    for (const auto& image : machine.images) state.free_slots_by_image[image].insert(slot);
   }
-  machine.index_entry = listed;
+  machine.index_entry = entry;
 }
 
 void Fleet::add_image(Machine& machine, const std::string& image) {
-  if (!machine.images.insert(image).second || !machine.index_entry || !machine.index_entry->open) return;
-  machine.index_entry->pool->with_image[image].insert({machine.index_entry->cores, machine.number, &machine});
+  if (!machine.images.insert(image).second || !machine.index_entry || !machine.index_entry->has_free_slot)
+    return;
+  machine.index_entry->pool->free_slots_by_image[image].insert(
+      {machine.index_entry->cores, machine.number, &machine});
 }
 
 void Fleet::visit_after(wire::MachineId& cursor, std::size_t count,
-                        const std::function<void(Machine&)>& call) {
+                        const std::function<void(Machine&)>& visitor) {
   auto next = machines_.upper_bound(cursor);
   for (count = std::min(count, machines_.size()); count > 0; --count) {
     ++steps_;
@@ -157,53 +160,54 @@
     auto& machine = next->second;
     ++next;
     cursor = machine.id;
-    call(machine);
+    visitor(machine);
   }
 }
 
-void Fleet::visit(double share, const std::function<void(Machine&)>& call) {
+void Fleet::visit(double share, const std::function<void(Machine&)>& visitor) {
   visit_after(cursor_, static_cast<std::size_t>(std::ceil(share * static_cast<double>(machines_.size()))),
-              call);
+              visitor);
 }
 
 FleetTotals Fleet::zone_totals(const std::string& zone) const {
-  FleetTotals sums;
+  FleetTotals totals;
   for (const auto& [pool, state] : pools_)
-    if (pool.zone == zone) sums += state.totals;
-  return sums;
+    if (pool.zone == zone) totals += state.totals;
+  return totals;
 }
 
-Machine* Fleet::find_best(MachineQuery& choice) {
+Machine* Fleet::find_best(MachineQuery& query) {
   using Score = std::tuple<double, double, double, std::uint64_t>;
   std::optional<Score> best_score;
   Machine* best = nullptr;
-  const auto& request = choice.spec.request;
-  const auto look = [&](const std::set<Slot>& slots, double fetch, double size) {
-    int left = kLook;
+  const auto& request = query.spec.request;
+  const auto search = [&](const std::set<FreeSlot>& slots, double delay_s, double machine_cores) {
+    int remaining = kMaxMachinesTried;
     for (auto slot = slots.lower_bound({request.cores - kRounding, 0, nullptr});
-         slot != slots.end() && left > 0; ++slot, --left) {
+         slot != slots.end() && remaining > 0; ++slot, --remaining) {
       ++steps_;
-      // Earliest completion: all types run a task equally fast, the image fetch differs. Of equals the
-      // fullest, so that others become free to be returned.
-      const Score score{fetch, choice.small_first ? size : 0, slot->cores, slot->number};
+      // Earliest completion first: all machine types run a task equally fast, only the image pull differs.
+      // Among equals the fullest machine, so that others become empty and can be terminated.
+      const Score score{delay_s, query.prefer_small ? machine_cores : 0, slot->cores, slot->number};
       if (best_score && score >= *best_score) return;
       if (!request.fits(slot->machine->available())) continue;
-      if (!choice.suits(*slot->machine)) {
-        choice.skipped_any = true;
+      if (!query.is_suitable(*slot->machine)) {
+        query.skipped_any = true;
         continue;
       }
       best_score = score;
       best = slot->machine;
       return;
     }
-    if (left == 0) choice.skipped_any = true;
+    if (remaining == 0) query.skipped_any = true;
   };
   for (const auto& [pool, state] : pools_) {
     ++steps_;
-    if (pool.preemptible != choice.preemptible || !allows(choice.spec, pool)) continue;
-    if (const auto image = state.with_image.find(choice.spec.image); image != state.with_image.end())
-      look(image->second, choice.zone_penalty_s(pool), state.capacity.cores);
-    look(state.free_slots, choice.image_pull_s(pool) + choice.zone_penalty_s(pool), state.capacity.cores);
+    if (pool.preemptible != query.preemptible || !allows(query.spec, pool)) continue;
+    if (const auto image = state.free_slots_by_image.find(query.spec.image);
+        image != state.free_slots_by_image.end())
+      search(image->second, query.zone_penalty_s(pool), state.capacity.cores);
+    search(state.free_slots, query.image_pull_s(pool) + query.zone_penalty_s(pool), state.capacity.cores);
   }
   return best;
 }
--- a/src/model/fleet.hpp
+++ b/src/model/fleet.hpp
@@ -1,5 +1,6 @@
-// The fleet: machines indexed by pool, room and image, with running sums, so that a task, a heartbeat or a
-// release costs about the logarithm of the fleet. Pure: no input, output or clocks.
+// The fleet: machines indexed by pool, free cores and image, with running totals, so that placing a task,
+// applying a heartbeat or removing a machine takes time logarithmic in the size of the fleet. Pure: no input,
+// output or clocks.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +14,7 @@
 
 namespace bankhill::model {
 
-// Machines of one machine type, zone and kind.
+// Identifies the machines of one machine type, zone and kind (preemptible or on-demand).
 struct Pool {
   std::string machine_type;
   std::string zone;
@@ -21,21 +22,22 @@
   auto operator<=>(const Pool&) const = default;
 };
 
-// A machine with room, ordered by the cores that are free.
-struct Slot {
+// A machine with free cores; ordered by their number.
+struct FreeSlot {
   double cores = 0;
   std::uint64_t number = 0;
   Machine* machine = nullptr;
-  bool operator<(const Slot& other) const {
+  bool operator<(const FreeSlot& other) const {
     return cores != other.cores ? cores < other.cores : number < other.number;
   }
 };
 
+// The totals and indexes of one pool.
 struct PoolState {
   FleetTotals totals;
-  wire::Resources capacity;  // of one machine
-  std::set<Slot> free_slots;
-  std::map<std::string, std::set<Slot>> with_image;
+  wire::Resources capacity;  // capacity of a single machine
+  std::set<FreeSlot> free_slots;
+  std::map<std::string, std::set<FreeSlot>> free_slots_by_image;
 };
 
 class Fleet {
@@ -47,52 +49,56 @@
   std::size_t size() const { return machines_.size(); }
   Machine* find(const wire::MachineId& machine_id);
   const Machine* peek(const wire::MachineId& machine_id) const;
-  // The machine, made if it is not there yet.
+  // Returns the machine and whether it was added by this call.
   std::pair<Machine*, bool> add(const wire::MachineId& machine_id);
   void erase(const wire::MachineId& machine_id);
   void clear();
-  // To be called after any change to a machine: brings the indexes and sums up to date.
+  // Updates the indexes and totals; must be called after every change to a machine.
   void refresh(Machine& machine);
   void add_image(Machine& machine, const std::string& image);
 
-  // Calls for each of the next `count` machines after `cursor`, going round; moves the cursor.
-  void visit_after(wire::MachineId& cursor, std::size_t count, const std::function<void(Machine&)>& call);
-  // The same for a share of the fleet.
-  void visit(double share, const std::function<void(Machine&)>& call);
+  // Visits the next `count` machines after `cursor` in circular order and advances the cursor.
+  void visit_after(wire::MachineId& cursor, std::size_t count, const std::function<void(Machine&)>& visitor);
+  // Visits the next machines in circular order, as many as this share of the fleet.
+  void visit(double share, const std::function<void(Machine&)>& visitor);
 
   const std::map<Pool, PoolState>& pools() const { return pools_; }
   const FleetTotals& total() const { return total_; }
   FleetTotals zone_totals(const std::string& zone) const;
 
-  // Machines that may take a task of a job, best first: `fetch_s` says how long a pool's machines take to
-  // fetch the image, `suits` has the last word. `skipped_any` tells whether a machine with room was passed
-  // over.
+  // Criteria for the machine to start a task of a job on, and the result of the search beside the machine.
   struct MachineQuery {
     const wire::JobSpec& spec;
     bool preemptible = false;
-    bool small_first = false;  // of equals, the smaller machine
+    bool prefer_small = false;  // among equals, prefers the machine type with fewer cores
+    // Time that the machines of a pool take to pull the job's image, in seconds.
     std::function<double(const Pool&)> image_pull_s;
-    std::function<double(const Pool&)> zone_penalty_s;  // seconds that being in another pool is worth
-    std::function<bool(const Machine&)> suits;
+    // Penalty for the zone of a pool, in seconds of later completion.
+    std::function<double(const Pool&)> zone_penalty_s;
+    // Final check on a machine that has enough free resources.
+    std::function<bool(const Machine&)> is_suitable;
+    // Result: a machine with enough free cores was skipped as unsuitable, or not all of them were tried.
     bool skipped_any = false;
   };
-  Machine* find_best(MachineQuery& choice);
+  // Returns the machine on which the task would complete first, or nullptr.
+  Machine* find_best(MachineQuery& query);
 
-  // Machines and pools looked at so far, to show that work per task does not grow with the fleet.
+  // Number of machines and pools examined so far; shows that the work per task does not grow with the fleet.
   std::uint64_t steps() const { return steps_; }
 
  private:
-  void unlist(Machine& machine);
+  // Removes the machine from the indexes and totals.
+  void remove_from_index(Machine& machine);
 
   Machines machines_;
   std::map<Pool, PoolState> pools_;
   FleetTotals total_;
   std::uint64_t next_number_ = 1;
-  wire::MachineId cursor_;  // visited last
+  wire::MachineId cursor_;  // the machine that visit() reached last
   std::uint64_t steps_ = 0;
 };
 
-// Whether the job may have tasks in this pool (machine type, zone, kind).
+// Whether the job's constraints on machine type, zone and kind allow tasks in this pool.
 bool allows(const wire::JobSpec& spec, const Pool& pool);
 
 }  // namespace bankhill::model
--- a/src/model/heartbeat_timing.hpp
+++ b/src/model/heartbeat_timing.hpp
@@ -1,31 +1,34 @@
-// The times that all decisions on missing heartbeats and lost responses go by.
+// Timing parameters for all decisions on missing heartbeats and lost responses.
 #pragma once
 
 #include <cstddef>
 
 namespace bankhill::model {
 
-// Seconds, but for the last.
+// Intervals and timeouts of the heartbeat protocol, and the number of controllers of the site.
 struct HeartbeatTiming {
-  double response_wait_s = 4;  // the worker drops a response that takes longer
+  double response_wait_s = 4;  // the agent discards a heartbeat response that takes longer
   double heartbeat_interval_s = 3;
   double control_interval_s = 3;
   double lease_s = 40;
   std::size_t controllers = 1;
 };
 
-// Heartbeat intervals after which the next regular one has come: the protocol's interval varies by a quarter.
-constexpr double kLatestHeartbeat = 1.25;
-// A worker that got no answer tries the next controller so much later.
-constexpr double kNextTryS = 1;
+// Longest time between two regular heartbeats, in heartbeat intervals: the protocol varies the interval by a
+// quarter.
+constexpr double kMaxHeartbeatIntervals = 1.25;
+// Delay after which an agent without a response retries with the next controller, in seconds.
+constexpr double kRetryDelayS = 1;
 
-// A worker that lost an answer, or that nobody answers, is silent until it has given the answer up and tried
-// the next controller, twice if the first cannot answer either.
+// Longest time after which an agent that receives no response sends its next heartbeat to a controller that
+// can respond: it waits for the response, then tries the next controller, and one more if that one cannot
+// respond either.
 inline double unanswered_return_s(const HeartbeatTiming& timing) {
-  return timing.response_wait_s + 2 * kNextTryS;
+  return timing.response_wait_s + 2 * kRetryDelayS;
 }
 
-// A machine with a lost link is returned after so many leases: its tasks are over for a lease by then.
-constexpr double kGiveUpLeases = 2;
+// Number of lease durations after which a machine with a lost uplink or downlink is terminated: its tasks
+// ended with its lease, one lease duration earlier.
+constexpr double kTerminateAfterLeases = 2;
 
 }  // namespace bankhill::model
--- a/src/model/job.cpp
+++ b/src/model/job.cpp
@@ -13,14 +13,14 @@
   completion_buckets.clear();
 }
 
-void Job::set_task_progress(std::uint32_t index, TaskMark mark) {
-  auto count = [this](char of) -> std::uint32_t& {
-    return of == kTaskReady ? ready_count : of == kTaskAssigned ? assigned_count : finished_count;
+void Job::set_task_progress(std::uint32_t index, TaskProgress progress) {
+  auto count = [this](char wanted) -> std::uint32_t& {
+    return wanted == kTaskReady ? ready_count : wanted == kTaskAssigned ? assigned_count : finished_count;
   };
   --count(task_progress[index]);
-  ++count(mark);
-  task_progress[index] = mark;
-  if (mark == kTaskReady) cursor = std::min(cursor, index);
+  ++count(progress);
+  task_progress[index] = progress;
+  if (progress == kTaskReady) cursor = std::min(cursor, index);
   progress_dirty = true;
 }
 
--- a/src/model/job.hpp
+++ b/src/model/job.hpp
@@ -1,4 +1,4 @@
-// Jobs and their tasks as the leader sees them. Pure: no input, output or clocks.
+// Jobs and the progress of their tasks, as known to the leader. Pure: no input, output or clocks.
 #pragma once
 
 #include <cstdint>
@@ -12,59 +12,63 @@
 
 namespace bankhill::model {
 
-enum TaskMark : char { kTaskReady = 0, kTaskAssigned = 1, kTaskDone = 2 };
+// Progress of a task within its job.
+enum TaskProgress : char { kTaskReady = 0, kTaskAssigned = 1, kTaskDone = 2 };
 
 struct Job {
   wire::JobSpec spec;
   wire::JobState state = wire::JobState::accepted;
   double accepted_at = 0;  // time of day
-  double ended_at = 0;     // time of day; 0: not over, or not known
+  double ended_at = 0;     // time of day; 0: not ended, or not known
   wire::KeyRevision revision;
-  std::optional<double> cutoff;  // time of day: as its record says, for good
+  std::optional<double> cutoff;  // time of day; fixed in the job's record at its acceptance
 
-  // Of a job that waits for others (model/dependency_graph.hpp).
-  bool dependencies_met = true;  // all of them are done
-  bool dependency_cancelled =
-      false;               // one of them is cancelled: it never starts, whatever its record still says
-  double eligible_at = 0;  // time of day from when its waiting counts: its acceptance or its release
-  std::uint32_t dependency_parts = 0;  // further keys that hold what it waits for
-  wire::KeyRevision
-      eligible_revision;  // what was accepted or released later than a term began no earlier leader started
+  // Dependencies on other jobs (model/dependency_graph.hpp).
+  bool dependencies_met = true;  // all jobs that this one depends on are done
+  // A job that this one depends on is cancelled: this one never starts, whatever its own record still says.
+  bool dependency_cancelled = false;
+  // Time of day from which the waiting time counts: the job's acceptance, or its release by its dependencies.
+  double eligible_at = 0;
+  std::uint32_t dependency_parts = 0;  // number of additional keys that store the list of dependencies
+  // Revision at which the job was accepted or released. If it is later than the start of a term, no earlier
+  // leader has started the job.
+  wire::KeyRevision eligible_revision;
 
-  std::vector<char> task_progress;  // a Mark for each task; empty until led
+  std::vector<char> task_progress;  // a TaskProgress for each task; empty until this controller leads
   std::uint32_t ready_count = 0;
   std::uint32_t assigned_count = 0;
   std::uint32_t finished_count = 0;
   std::uint32_t running_count = 0;
-  std::uint32_t cursor = 0;  // no ready task lies before it
+  std::uint32_t cursor = 0;  // no task before this index is ready
 
-  std::map<std::uint32_t, wire::MachineId> task_machines;     // the machines that tasks are bound to
-  std::map<std::string, std::uint32_t> tasks_by_zone;         // how many of them in each zone
-  std::map<std::uint32_t, std::uint64_t> completion_buckets;  // chunk -> where its finished tasks are stored
+  std::map<std::uint32_t, wire::MachineId> task_machines;     // task index to the machine that it is bound to
+  std::map<std::string, std::uint32_t> tasks_by_zone;         // number of bound tasks by zone
+  std::map<std::uint32_t, std::uint64_t> completion_buckets;  // chunk of tasks to the bucket that stores it
 
-  // Failures of tasks, to tell a faulty machine from a faulty job.
+  // Failures of tasks, to distinguish a faulty machine from a faulty job.
   std::set<wire::MachineId> failed_on;
-  bool faulty = false;  // its tasks fail wherever they are tried
+  bool faulty = false;  // tasks of the job have failed on every machine tried
   std::uint32_t failures_in_row = 0;
-  double blocked_until = 0;  // steady clock
+  double blocked_until = 0;  // no task is placed before this time, on the steady clock
+  // Times at which tasks were last preempted for this job, and at which victims were last searched for.
   double triggered_preemption_at = -1e9;
   double preemption_tried_at = -1e9;
-  std::string reason;  // why it waits or what failed, for its owner
+  std::string reason;  // why the job waits or what failed, shown to its owner
   bool progress_dirty = true;
 
   bool has_ended() const { return state != wire::JobState::accepted; }
   bool is_live() const { return !has_ended() && !dependency_cancelled; }
-  // A task of it runs, is told to, or is done.
+  // Whether a task of the job is assigned or finished.
   bool has_started() const { return assigned_count > 0 || finished_count > 0; }
   bool is_service() const { return spec.kind == wire::JobKind::service; }
 
   void reset_task_progress();
-  void set_task_progress(std::uint32_t index, TaskMark mark);
-  // Of a faulty job one task is enough to see.
+  void set_task_progress(std::uint32_t index, TaskProgress progress);
+  // Whether a faulty job already has a task assigned. One at a time is enough to see whether it still fails.
   bool has_trial_task() const { return faulty && assigned_count > 0; }
-  // Tasks that are worth a machine: of a faulty job one.
+  // Number of unfinished tasks to provide machines for: for a faulty job only one.
   std::uint32_t unfinished_tasks() const { return faulty ? 1 : ready_count + assigned_count; }
-  // The next ready task at or after the cursor; false if there is none.
+  // Sets `index` to the first ready task at or after the cursor. Returns false if there is none.
   bool find_ready_task(std::uint32_t& index);
 };
 
--- a/src/model/machine.hpp
+++ b/src/model/machine.hpp
@@ -20,115 +20,120 @@
 
 enum class AssignmentState { sent, pulling_image, running, checkpointing };
 
-// A task told to start on a machine. It stays bound until there is proof that it is gone.
+// A task that was sent to a machine to start there. It stays bound to the machine until it is proved that it
+// can no longer run there.
 struct Assignment {
   wire::TaskId task;
   wire::AttemptNumber attempt;
   std::string team;
-  std::string job_class;  // class of its job
+  std::string job_class;
   wire::Priority priority = wire::Priority::normal;
   bool is_service = false;
-  bool largest = false;                // of its class, when it was bound
-  bool started_for_long_wait = false;  // the one task that its job's long wait put before all other batches
+  bool largest = false;  // the job was among the largest of its class when the task was bound
+  // The one task of a batch job that was placed ahead of all other batch jobs because the job had waited
+  // long.
+  bool started_for_long_wait = false;
   wire::Resources request;
-  wire::AgentEpoch agent_epoch;  // agent epoch in which it was told to start
+  wire::AgentEpoch agent_epoch;  // agent epoch for which the start command was sent
   AssignmentState state = AssignmentState::sent;
   bool stopping = false;
-  bool orphaned = false;  // found here although it is bound elsewhere or over: only to be stopped
+  bool orphaned = false;  // reported by this machine although bound elsewhere or ended: to be stopped
   double grace_period_s = 0;
-  double assigned_at = 0;  // steady clock: when it was bound
+  double assigned_at = 0;  // time at which the task was bound, on the steady clock
   double running_since = 0;
   InFlightStarts in_flight_starts;
 
-  // How long it has been running.
   double running_s(double now) const { return running_since > 0 ? now - running_since : 0; }
 };
 
-// An exited attempt that the worker still lists.
+// An exited attempt that the agent still lists in its heartbeats.
 struct ExitedAttempt {
   wire::AttemptNumber attempt;
-  bool stored = true;  // its exit needs no store, or is in the store
+  bool stored = true;  // the exit is stored durably or need not be
   InFlightStarts in_flight_starts;
 };
 
-// Running sums over machines, of a pool, a zone or all.
+// Running totals over the machines of a pool, of a zone or of the fleet.
 struct FleetTotals {
   std::size_t up = 0;
-  std::size_t overdue = 0;        // up, not heard for longer than reports take
-  std::size_t downlink_lost = 0;  // up and not quiet, suspected or known not to hear
-  std::size_t booting = 0;        // rented, not up yet, and still expected
-  std::size_t joining = 0;        // up, and about to take tasks: not recorded yet, or not asked or answered
-  std::size_t unconfirmed = 0;    // inherited from an earlier leader, not heard in this term
+  std::size_t overdue = 0;        // up, out of contact for longer than heartbeats can take
+  std::size_t downlink_lost = 0;  // up and not overdue, with a downlink that is suspect or lost
+  std::size_t booting = 0;        // rented and not up yet, with a boot that is not overdue
+  std::size_t joining = 0;        // up and about to take tasks: not recorded, not confirmed or lease may end
+  std::size_t unconfirmed = 0;    // inherited from an earlier leader and not confirmed in this term
   wire::Resources unconfirmed_capacity;
-  double cores = 0;       // of machines that are up or coming and stay, without those whose downlink is lost
-  double free_cores = 0;  // of machines that take tasks now
+  // Cores of machines that are up or booting and not draining, except those whose downlink or uplink is lost.
+  double cores = 0;
+  double free_cores = 0;  // free cores of machines that take tasks now
 
   FleetTotals& operator+=(const FleetTotals& other);
 };
 
-// What the indexes hold of a machine.
+// What the indexes of Fleet hold for a machine, kept to remove it again.
 struct IndexEntry {
   PoolState* pool = nullptr;
-  FleetTotals part;
-  bool open = false;
+  FleetTotals contribution;
+  bool has_free_slot = false;
   double cores = 0;
 };
 
 struct Machine {
   wire::MachineId id;
-  std::uint64_t number = 0;  // in the order in which the leader came to know them
+  std::uint64_t number = 0;  // rank in the order in which the leader learned of the machines
   std::string address;
   std::string machine_type;
   std::string zone;
   bool preemptible = false;
   wire::Resources capacity;
 
-  bool up = false;        // has reported, or is recorded as one that did
-  bool recorded = false;  // its record is committed: it may hold tasks
-  bool record_pending = false;
-  bool inherited = false;         // was recorded when this term began: may hold tasks of an earlier leader
-  bool confirmed = false;         // has seen a fencing token of this term, or never had another
-  bool rented_this_term = false;  // rented by this term: nothing of it can be older
-  bool lease_expired = false;     // its lease has run out by our count and it was not heard since
-  bool lease_may_end = false;     // before its next heartbeat is answered (model/lease_forecast.hpp)
-  bool draining = false;          // takes no more tasks
+  bool up = false;                // has sent a heartbeat, or its record says so
+  bool recorded = false;          // its record is committed, so it may get tasks
+  bool record_pending = false;    // its record is being committed
+  bool inherited = false;         // was recorded when this term began: may run tasks of an earlier leader
+  bool confirmed = false;         // has seen a fencing token of this term, or never had an earlier one
+  bool rented_this_term = false;  // rented in this term: no message from it can be from an earlier term
+  bool lease_expired = false;     // the lease has expired for certain, with no heartbeat or response since
+  bool lease_may_end = false;     // the lease may end before its next renewal (model/lease_forecast.hpp)
+  bool draining = false;          // gets no more tasks
   bool terminating = false;
   bool termination_sent = false;
-  bool boot_overdue = false;  // booting for so long that it is no longer counted on
-  bool overdue = false;       // not heard for longer than reports take
+  bool boot_overdue = false;  // booting for so long that it no longer counts as expected capacity
+  bool overdue = false;       // out of contact for longer than heartbeats can take
   UplinkState uplink = UplinkState::up;
   std::string drain_reason;
-  std::string record_group;  // where its record is kept
+  std::string record_group;  // name of the stored group that holds its record
 
   wire::AgentEpoch agent_epoch;
-  std::uint64_t last_sequence = 0;
-  std::uint64_t listed_sequence = 0;     // of the last heartbeat whose list of tasks was applied
-  std::uint64_t heartbeat_sequence = 0;  // of the last heartbeat of this agent epoch, direct answers aside
-  wire::FencingToken seen_token;
-  double first_seen = 0;    // steady clock
-  double last_contact = 0;  // last new heartbeat or direct answer
-  AgentLease lease;         // as lengthened by answers at most
-  // When a heartbeat of the present agent epoch was last answered in this term; nothing: none was.
+  std::uint64_t last_sequence = 0;    // highest sequence number applied in this agent epoch
+  std::uint64_t listed_sequence = 0;  // sequence of the last heartbeat whose list of tasks was applied
+  // Sequence of the last heartbeat of this agent epoch; responses to direct requests do not count.
+  std::uint64_t heartbeat_sequence = 0;
+  wire::FencingToken seen_token;  // highest fencing token that the agent has shown
+  // Times below are on the leader's steady clock.
+  double first_seen = 0;
+  double last_contact = 0;  // time of the last new heartbeat or response to a direct request
+  AgentLease lease;         // latest possible end of the agent's lease
+  // Time at which a heartbeat of the current agent epoch was last answered in this term; nullopt: not yet.
   std::optional<double> answered_at;
   double last_heartbeat_applied_at = 0;
-  double last_heartbeat_received_at = 0;  // when any heartbeat came, one that is no news too
-  bool regular_heartbeat = true;          // its last heartbeat came in its turn, not for a change
+  double last_heartbeat_received_at = 0;  // counts heartbeats with outdated content too
+  bool regular_heartbeat = true;          // the last heartbeat was due by the interval, not sent for a change
   double last_probe = 0;
-  std::uint32_t probes_unanswered = 0;  // in a row
-  double uncertain_start_at = 0;
+  std::uint32_t probes_unanswered = 0;  // consecutive direct probes without a response
+  double uncertain_start_at = 0;        // time of the last direct start with an unknown outcome
   double idle_since = 0;
-  std::optional<double> preemption_at;  // steady clock: when the cloud takes it
+  std::optional<double> preemption_at;  // time at which the cloud reclaims the machine
 
   std::map<wire::TaskId, Assignment> assignments;
   std::map<wire::TaskId, ExitedAttempt> exited_attempts;
   wire::Resources used;
-  wire::Resources reserved;      // for members of replicas to come (gang/gang_fit.hpp)
-  double service_cores = 0;      // the part of it that services use
-  std::set<std::string> images;  // images seen ready here
+  wire::Resources reserved;      // resources reserved for gang tasks not placed yet (gang/gang_fit.hpp)
+  double service_cores = 0;      // cores used by tasks of services
+  std::set<std::string> images;  // container images that are ready on the machine
   std::uint32_t errors_in_row = 0;
   std::set<wire::JobId> error_jobs;
-  DownlinkHealth downlink;                // whether it hears what it is told
-  std::optional<IndexEntry> index_entry;  // how the fleet's indexes hold it
+  DownlinkHealth downlink;
+  std::optional<IndexEntry> index_entry;  // its entry in the indexes of Fleet; nullopt: not indexed
 
   wire::Resources available() const {
     wire::Resources free = capacity;
@@ -136,18 +141,20 @@
     free -= reserved;
     return free;
   }
-  // Its worker sends one heartbeat at a time: one that is not above the last is a copy, or was given up.
+  // Whether a heartbeat is a duplicate or outdated. The agent has one heartbeat outstanding at a time, so one
+  // that is not newer than the last is a copy or one that the agent stopped waiting for.
   bool already_received(const wire::Heartbeat& heartbeat) const {
     return std::pair(heartbeat.agent_epoch, heartbeat.sequence) <= std::pair(agent_epoch, heartbeat_sequence);
   }
-  // What any answer to a question asked from now on must be above, as long as the machine stays the same.
+  // Lower bound (exclusive) on the agent epoch and sequence number of any response to a request sent from now
+  // on, as long as the machine is the same.
   std::pair<wire::AgentEpoch, std::uint64_t> newest_received() const {
-    // While it is lost, its agent epoch is only assumed.
+    // After the lease has expired, it is not known whether the agent epoch still lasts.
     if (lease_expired) return {wire::AgentEpoch{agent_epoch.value - 1}, listed_sequence};
     return {agent_epoch, std::max(last_sequence, heartbeat_sequence)};
   }
-  // It could not be used and now can: an empty one has had no chance to be of use, and would else be returned
-  // as idle this very moment.
+  // Called when a machine becomes usable again. An empty machine could not get tasks until now and would
+  // otherwise be terminated as idle at once.
   void restart_idle_time(double now) {
     if (assignments.empty()) idle_since = now;
   }
--- a/src/model/spot_reclaim_history.cpp
+++ b/src/model/spot_reclaim_history.cpp
@@ -3,24 +3,25 @@
 namespace bankhill::model {
 
 namespace {
-constexpr double kLeastMachineS = 600;  // machine seconds below which the rate is unknown
+constexpr double kMinMachineS = 600;  // machine seconds below which the rate is unknown
 }  // namespace
 
-// Reclaims are forgotten after some rounds. Counted for good, one wave kept every spot type above phi for the
-// rest of the leadership term: alpha's budget stayed unspent and work waited (days/ops-boots-slow).
-void SpotReclaimHistory::advance(const Fleet& fleet, double passed_s, double remaining) {
+// Reclaims decay over a few planning rounds. When they did not, one wave of reclaims kept the rate of every
+// spot type above phi for the rest of the term: alpha's budget stayed unspent while work waited
+// (days/ops-boots-slow).
+void SpotReclaimHistory::advance(const Fleet& fleet, double elapsed_s, double decay_factor) {
   for (const auto& [pool, state] : fleet.pools())
     if (pool.preemptible)
-      types_[pool.machine_type].machine_s += passed_s * static_cast<double>(state.totals.up);
+      types_[pool.machine_type].machine_s += elapsed_s * static_cast<double>(state.totals.up);
   for (auto& [machine_type, history] : types_) {
-    history.reclaims *= remaining;
-    history.machine_s *= remaining;
+    history.reclaims *= decay_factor;
+    history.machine_s *= decay_factor;
   }
 }
 
 std::optional<double> SpotReclaimHistory::rate(const std::string& machine_type) const {
   const auto found = types_.find(machine_type);
-  if (found == types_.end() || found->second.machine_s < kLeastMachineS) return std::nullopt;
+  if (found == types_.end() || found->second.machine_s < kMinMachineS) return std::nullopt;
   return found->second.reclaims / found->second.machine_s;
 }
 
--- a/src/model/spot_reclaim_history.hpp
+++ b/src/model/spot_reclaim_history.hpp
@@ -1,4 +1,5 @@
-// How often the cloud took preemptible machines back lately, by machine type. Pure: times are told.
+// Recent rate at which the cloud reclaimed preemptible machines, by machine type. Pure: the caller passes the
+// times.
 #pragma once
 
 #include <map>
@@ -11,12 +12,12 @@
 
 class SpotReclaimHistory {
  public:
-  // The cloud has taken back a machine of this type, or is about to.
+  // Counts a machine of this type that the cloud has reclaimed or has announced to reclaim.
   void add_reclaim(const std::string& machine_type) { types_[machine_type].reclaims += 1; }
-  // `passed_s` seconds have gone by with the fleet's preemptible machines up; `remaining`: the part that all
-  // that was counted still counts.
-  void advance(const Fleet& fleet, double passed_s, double remaining);
-  // Reclaims a second of a machine of this type; nothing while too little is known.
+  // Adds `elapsed_s` seconds of running time for the fleet's preemptible machines that are up, then
+  // multiplies all counts by `decay_factor`.
+  void advance(const Fleet& fleet, double elapsed_s, double decay_factor);
+  // Reclaims per machine second for this type; nullopt while the counted machine time is too short.
   std::optional<double> rate(const std::string& machine_type) const;
 
  private:
