--- a/tests/agent_lease_test.cpp
+++ b/tests/agent_lease_test.cpp
@@ -1,4 +1,4 @@
-// The one count of leases, and of starts that may still arrive (docs/SAFETY.md, "When a task is surely
+// Bounds on leases and on start commands that may still arrive (docs/SAFETY.md, "When a task is surely
 // gone").
 #include "model/agent_lease.hpp"
 
@@ -9,21 +9,21 @@
 
 using wire::FencingToken;
 
-TEST(SurelyGone, ALeaseCountsFromItsLastRenewalAndIsNeverShortened) {
+TEST(AgentLeaseBounds, LeaseRunsFromLastRenewalAndIsNeverShortened) {
   constexpr double kLeaseS = 40;
   AgentLease lease;
   lease.record_renewal(100);
-  const double over = lease.latest_expiry_at(kLeaseS);
-  // The worker's clock may be slow, ours fast, by 0.05 % each.
-  EXPECT_GT(over, 100 + kLeaseS * 1.0005 / 0.9995);
-  EXPECT_LT(over, 100 + kLeaseS * 1.05);
+  const double expiry = lease.latest_expiry_at(kLeaseS);
+  // The agent's clock may be slow and the leader's fast, by 0.05 % each.
+  EXPECT_GT(expiry, 100 + kLeaseS * 1.0005 / 0.9995);
+  EXPECT_LT(expiry, 100 + kLeaseS * 1.05);
   lease.record_renewal(90);
-  EXPECT_EQ(lease.latest_expiry_at(kLeaseS), over) << "what is noted late does not shorten it";
+  EXPECT_EQ(lease.latest_expiry_at(kLeaseS), expiry) << "what is noted late does not shorten it";
   lease.record_renewal(101);
-  EXPECT_EQ(lease.latest_expiry_at(kLeaseS), over + 1);
+  EXPECT_EQ(lease.latest_expiry_at(kLeaseS), expiry + 1);
 }
 
-TEST(SurelyGone, ADirectStartMayArriveUntilItIsAnsweredOrItsFenceIsBelow) {
+TEST(AgentLeaseBounds, DirectStartIsUnsettledUntilAnsweredOrFenced) {
   InFlightStarts starts;
   EXPECT_TRUE(starts.direct_starts_settled(FencingToken{0})) << "none was sent";
   starts.record_direct_start();
@@ -44,7 +44,7 @@
   EXPECT_FALSE(starts.direct_starts_settled(FencingToken{6})) << "an answer too many pays for no later start";
 }
 
-TEST(SurelyGone, AStartInAnAnswerIsShownByALaterReport) {
+TEST(AgentLeaseBounds, StartInResponseIsSettledByALaterHeartbeat) {
   InFlightStarts starts;
   EXPECT_TRUE(starts.response_start_settled(std::nullopt));
   EXPECT_FALSE(starts.is_reflected_in(7));
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,4 +1,4 @@
-// The fleet's indexes: right after any change, and no work that grows with the fleet.
+// The indexes of the fleet: correct after any change, and the work per task does not grow with the fleet.
 #include "model/fleet.hpp"
 
 #include <gtest/gtest.h>
@@ -17,9 +17,9 @@
   return result;
 }
 
-Fleet::MachineQuery choice(const wire::JobSpec& job, bool reclaimable) {
+Fleet::MachineQuery make_query(const wire::JobSpec& job, bool preemptible) {
   return {job,
-          reclaimable,
+          preemptible,
           false,
           [](const Pool&) { return 2.0; },
           [](const Pool&) { return 0.0; },
@@ -28,23 +28,23 @@
 }
 
 void make_ready(Fleet& fleet, Machine& machine, const std::string& machine_type, double cores,
-                bool reclaimable) {
+                bool preemptible) {
   machine.machine_type = machine_type;
   machine.zone = "a";
-  machine.preemptible = reclaimable;
+  machine.preemptible = preemptible;
   machine.capacity = {cores, 0, 4 * cores};
   machine.up = machine.recorded = machine.confirmed = true;
   fleet.refresh(machine);
 }
 
-wire::MachineId host(int number) { return {"n-" + std::to_string(100000 + number)}; }
+wire::MachineId machine_id(int number) { return {"n-" + std::to_string(100000 + number)}; }
 
-TEST(Fleet, IndexesAndSumsAreThoseOfAScanAfterAnyChange) {
+TEST(Fleet, IndexesAndTotalsMatchAScanAfterAnyChange) {
   std::mt19937 random(5);
   Fleet fleet;
-  const std::vector<std::string> bundles = {"x", "y", "z"};
+  const std::vector<std::string> images = {"x", "y", "z"};
   for (int step = 0; step < 20000; ++step) {
-    const auto id = host(static_cast<int>(random() % 60));
+    const auto id = machine_id(static_cast<int>(random() % 60));
     auto* machine = fleet.find(id);
     if (machine == nullptr) {
       make_ready(fleet, *fleet.add(id).first, random() % 2 == 0 ? "small" : "large",
@@ -52,7 +52,7 @@
     } else if (random() % 20 == 0) {
       fleet.erase(id);
     } else if (random() % 4 == 0) {
-      fleet.add_image(*machine, bundles[random() % 3]);
+      fleet.add_image(*machine, images[random() % 3]);
     } else {
       bool* flags[] = {&machine->up,           &machine->confirmed,   &machine->draining,
                        &machine->overdue,      &machine->terminating, &machine->lease_expired,
@@ -63,42 +63,44 @@
           static_cast<double>(random() % (1 + static_cast<unsigned>(machine->capacity.cores)));
       fleet.refresh(*machine);
     }
-    FleetTotals sums;
-    double best_room = 1e9;
-    double best_fetch = 1e9;
-    const auto job = spec(2, bundles[random() % 3]);
-    for (auto& [name, there] : fleet) {
-      const bool stays = !there.draining && !there.terminating;
-      sums.up += there.up ? 1 : 0;
-      sums.overdue += there.up && there.overdue ? 1 : 0;
-      sums.unconfirmed += there.inherited && !there.confirmed ? 1 : 0;
-      sums.cores += stays && (there.up || !there.boot_overdue) ? there.capacity.cores : 0;
-      if (!there.takes_tasks() || there.overdue || there.preemptible || !job.request.fits(there.available()))
+    FleetTotals totals;
+    double best_cores = 1e9;
+    double best_pull_s = 1e9;
+    const auto job = spec(2, images[random() % 3]);
+    for (auto& [candidate_id, candidate] : fleet) {
+      const bool stays = !candidate.draining && !candidate.terminating;
+      totals.up += candidate.up ? 1 : 0;
+      totals.overdue += candidate.up && candidate.overdue ? 1 : 0;
+      totals.unconfirmed += candidate.inherited && !candidate.confirmed ? 1 : 0;
+      totals.cores += stays && (candidate.up || !candidate.boot_overdue) ? candidate.capacity.cores : 0;
+      if (!candidate.takes_tasks() || candidate.overdue || candidate.preemptible ||
+          !job.request.fits(candidate.available()))
         continue;
-      const double fetch = there.images.contains(job.image) ? 0 : 2;
-      if (std::pair(fetch, there.available().cores) < std::pair(best_fetch, best_room)) {
-        best_fetch = fetch;
-        best_room = there.available().cores;
+      const double pull_s = candidate.images.contains(job.image) ? 0 : 2;
+      if (std::pair(pull_s, candidate.available().cores) < std::pair(best_pull_s, best_cores)) {
+        best_pull_s = pull_s;
+        best_cores = candidate.available().cores;
       }
     }
-    ASSERT_EQ(fleet.total().up, sums.up);
-    ASSERT_EQ(fleet.total().overdue, sums.overdue);
-    ASSERT_EQ(fleet.total().unconfirmed, sums.unconfirmed);
-    ASSERT_DOUBLE_EQ(fleet.total().cores, sums.cores);
-    auto wish = choice(job, false);
-    const auto* picked = fleet.find_best(wish);
-    ASSERT_EQ(picked != nullptr, best_room < 1e9);
-    if (picked == nullptr) continue;
-    ASSERT_EQ(picked->images.contains(job.image) ? 0 : 2, best_fetch);
-    ASSERT_DOUBLE_EQ(picked->available().cores, best_room);
+    ASSERT_EQ(fleet.total().up, totals.up);
+    ASSERT_EQ(fleet.total().overdue, totals.overdue);
+    ASSERT_EQ(fleet.total().unconfirmed, totals.unconfirmed);
+    ASSERT_DOUBLE_EQ(fleet.total().cores, totals.cores);
+    auto query = make_query(job, false);
+    const auto* found = fleet.find_best(query);
+    ASSERT_EQ(found != nullptr, best_cores < 1e9);
+    if (found == nullptr) continue;
+    ASSERT_EQ(found->images.contains(job.image) ? 0 : 2, best_pull_s);
+    ASSERT_DOUBLE_EQ(found->available().cores, best_cores);
   }
 }
 
-// Steps, not time: a task on a fleet of thousands costs about what it costs on a fleet of tens.
-double steps_a_task(int machines) {
+// Average number of steps to place a task in a fleet of this size. Steps rather than time: a task in a fleet
+// of thousands must cost about as much as in a fleet of tens.
+double steps_per_task(int machines) {
   Fleet fleet;
   for (int i = 0; i < machines; ++i) {
-    auto& machine = *fleet.add(host(i)).first;
+    auto& machine = *fleet.add(machine_id(i)).first;
     make_ready(fleet, machine, i % 3 == 0 ? "large" : "small", i % 3 == 0 ? 16 : 4, i % 2 == 0);
     if (i % 4 == 0) fleet.add_image(machine, "x");
   }
@@ -108,9 +110,9 @@
   int tasks = 0;
   for (; tasks < 2000; ++tasks) {
     const auto job = spec(1 + static_cast<double>(random() % 4), random() % 2 == 0 ? "x" : "y");
-    for (const bool reclaimable : {false, true}) {
-      auto wish = choice(job, reclaimable);
-      auto* machine = fleet.find_best(wish);
+    for (const bool preemptible : {false, true}) {
+      auto query = make_query(job, preemptible);
+      auto* machine = fleet.find_best(query);
       if (machine == nullptr) continue;
       machine->used.cores += job.request.cores;
       fleet.refresh(*machine);
@@ -127,20 +129,20 @@
   return static_cast<double>(fleet.steps() - before) / tasks;
 }
 
-TEST(Fleet, WorkForATaskDoesNotGrowWithTheFleet) {
-  const double tens = steps_a_task(40);
-  const double thousands = steps_a_task(4000);
+TEST(Fleet, WorkPerTaskDoesNotGrowWithTheFleet) {
+  const double tens = steps_per_task(40);
+  const double thousands = steps_per_task(4000);
   EXPECT_GT(tens, 1);
   EXPECT_LT(thousands, 2 * tens + 5);
 }
 
-TEST(Fleet, VisitsEveryMachineInItsTurn) {
+TEST(Fleet, VisitsAllMachinesInTurn) {
   Fleet fleet;
-  for (int i = 0; i < 10; ++i) make_ready(fleet, *fleet.add(host(i)).first, "small", 4, false);
+  for (int i = 0; i < 10; ++i) make_ready(fleet, *fleet.add(machine_id(i)).first, "small", 4, false);
   std::map<wire::MachineId, int> seen;
   for (int round = 0; round < 8; ++round) fleet.visit(0.25, [&](Machine& machine) { ++seen[machine.id]; });
   EXPECT_EQ(seen.size(), 10U);
-  for (const auto& [name, times] : seen) EXPECT_GE(times, 2) << name.value;
+  for (const auto& [visited_id, count] : seen) EXPECT_GE(count, 2) << visited_id.value;
 }
 
 }  // namespace
--- a/tests/spot_reclaim_history_test.cpp
+++ b/tests/spot_reclaim_history_test.cpp
@@ -1,4 +1,4 @@
-// How often the cloud took preemptible machines back (model/spot_reclaim_history.hpp).
+// Rate at which the cloud reclaims preemptible machines (model/spot_reclaim_history.hpp).
 #include "model/spot_reclaim_history.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   SpotReclaimHistory history;
 };
 
-TEST_F(SpotReclaimHistoryTest, KnowsNoRateUntilMachinesWereUpForLongEnough) {
+TEST_F(SpotReclaimHistoryTest, RateIsUnknownUntilEnoughMachineTimeIsCounted) {
   add_machine("large", true);
   add_machine("large", true);
   history.add_reclaim("large");
@@ -47,14 +47,14 @@
   EXPECT_FALSE(history.rate("small"));
 }
 
-TEST_F(SpotReclaimHistoryTest, HasNoReclaimsWhereNoneWere) {
+TEST_F(SpotReclaimHistoryTest, RateIsZeroWithoutReclaims) {
   add_machine("large", true);
   history.advance(fleet, 1000, 1);
   EXPECT_EQ(history.rate("large"), 0);
 }
 
-// One wave must not rule a type out for good.
-TEST_F(SpotReclaimHistoryTest, ForgetsReclaimsWhileTheMachinesThatStayCount) {
+// One wave of reclaims must not rule out a machine type permanently.
+TEST_F(SpotReclaimHistoryTest, ReclaimsDecayWhileMachinesStayUp) {
   add_machine("large", true);
   history.advance(fleet, 1000, 1);
   for (int i = 0; i < 10; ++i) history.add_reclaim("large");
@@ -68,7 +68,7 @@
   EXPECT_LT(last, 1e-6);
 }
 
-TEST_F(SpotReclaimHistoryTest, KnowsNothingAgainOnceAllIsForgotten) {
+TEST_F(SpotReclaimHistoryTest, RateIsUnknownAgainOnceTheCountsHaveDecayed) {
   add_machine("large", true);
   history.advance(fleet, 1000, 1);
   ASSERT_TRUE(history.rate("large"));
