--- a/src/model/dependency_graph.hpp
+++ b/src/model/dependency_graph.hpp
@@ -80,8 +80,7 @@
   // The highest priority among the job and the jobs that depend on it, directly or indirectly.
   wire::Priority effective_priority(const wire::JobId& id, wire::Priority own) const;
   EffectiveDeadline effective_deadline(const wire::JobId& id) const;
-  // Returns up to `max_count` direct dependencies that are not done; sets `count` to the number of all of
-  // them.
+  // Returns up to `max_count` direct dependencies that are not done, and sets `count` to their total number.
   std::vector<wire::JobId> unmet_dependencies(const wire::JobId& id, std::size_t max_count,
                                               std::size_t& count) const;
   std::size_t size() const { return nodes_.size(); }
--- a/src/model/downlink_health.hpp
+++ b/src/model/downlink_health.hpp
@@ -46,13 +46,15 @@
   State state() const { return state_; }
   bool takes_tasks() const { return state_ == State::healthy; }
   bool probe_due(double now) const { return state_ != State::healthy && now >= next_probe_at_; }
-  // Whether more than one probe in a row got no response, so that replacements are rented.
+  // Whether more than one probe got no response since the downlink became suspect, so that replacements are
+  // rented.
   bool considered_lost() const {
     return state_ == State::lost && unanswered_probes_ >= kConsideredLostProbes;
   }
   // Whether the downlink has been lost for so long that the machine is to be terminated.
   bool should_terminate(double now, const HeartbeatTiming& timing) const;
-  double suspect_since() const { return suspect_since_; }  // on the steady clock
+  // Time at which the downlink last became suspect, on the steady clock.
+  double suspect_since() const { return suspect_since_; }
 
   // Times of the last heartbeat which showed that a response sent through a peer was received, or was lost.
   // They distinguish a leader whose own responses are lost from machines with a faulty downlink.
@@ -63,13 +65,13 @@
   static constexpr std::uint32_t kConsideredLostProbes = 2;
   // The last response sent to the machine.
   struct Response {
-    std::uint64_t sequence = 0;  // 0: none
+    std::uint64_t sequence = 0;  // 0: no response sent yet
     wire::AgentEpoch agent_epoch;
     wire::FencingToken fencing_token;
     std::string forwarded_by;
     double sent_at = 0;
   };
-  // Starts probing; the machine is probed and may be used again after `retry_after_s`.
+  // Starts probing. The first probe is due, and the machine can be used again, after `retry_after_s`.
   void mark_suspect(double now, double retry_after_s);
   // Delay before the next probe: doubles with each earlier attempt, at most a lease.
   double backoff_s(const HeartbeatTiming& timing, std::uint32_t attempts) const;
@@ -79,10 +81,10 @@
   double suspect_since_ = 0;
   wire::AgentEpoch suspected_epoch_;  // agent epoch at the time the downlink became suspect
   double next_probe_at_ = 0;
-  // Earliest time at which the machine is used again: later if its downlink has failed repeatedly.
+  // Earliest time at which the machine can be used again. Later if its downlink has failed repeatedly.
   double unusable_until_ = 0;
-  std::uint32_t unanswered_probes_ = 0;  // since the downlink became suspect
-  // How often the downlink became suspect after a lost response without a received start in between.
+  std::uint32_t unanswered_probes_ = 0;  // number of probes without a response since it became suspect
+  // Number of times that the downlink became suspect after a lost response, since a start was last received.
   std::uint32_t recurrences_ = 0;
   double peer_response_received_at_ = -1e9;
   double peer_response_lost_at_ = -1e9;
--- a/src/model/failure_detector.cpp
+++ b/src/model/failure_detector.cpp
@@ -23,7 +23,7 @@
   const double probe_s = latest_heartbeat_s + kProbeIntervals * timing_.control_interval_s;
   const double dead_s = latest_heartbeat_s + kDeadIntervals * timing_.control_interval_s;
   // An agent that receives no response moves on to the next controller, and a controller that redirects it
-  // does not report the heartbeat to the leader. So a machine with a faulty downlink may be out of contact
+  // does not forward the heartbeat to the leader. So a machine with a faulty downlink may be out of contact
   // for a whole cycle through the controllers and still be running.
   const double lost_response_s = unanswered_return_s(timing_);
   const double min_dead_s =
--- a/src/model/job.hpp
+++ b/src/model/job.hpp
@@ -41,9 +41,10 @@
   std::uint32_t running_count = 0;
   std::uint32_t cursor = 0;  // no task before this index is ready
 
-  std::map<std::uint32_t, wire::MachineId> task_machines;     // task index to the machine that it is bound to
-  std::map<std::string, std::uint32_t> tasks_by_zone;         // number of bound tasks by zone
-  std::map<std::uint32_t, std::uint64_t> completion_buckets;  // chunk of tasks to the bucket that stores it
+  std::map<std::uint32_t, wire::MachineId> task_machines;  // maps a task to the machine that it is bound to
+  std::map<std::string, std::uint32_t> tasks_by_zone;      // number of bound tasks by zone
+  // Maps a chunk of tasks to the number of the bucket in which its completed tasks are stored.
+  std::map<std::uint32_t, std::uint64_t> completion_buckets;
 
   // Failures of tasks, to distinguish a faulty machine from a faulty job.
   std::set<wire::MachineId> failed_on;
