--- a/src/queue/preemption_reservations.cpp
+++ b/src/queue/preemption_reservations.cpp
@@ -12,19 +12,19 @@
     case PreemptionEnd::used:
       return "used";
     case PreemptionEnd::taken_by_higher_priority:
-      return "taken by a higher priority";
+      return "taken by tasks of higher priority";
     case PreemptionEnd::started_elsewhere:
-      return "started elsewhere";
+      return "started on another machine";
     case PreemptionEnd::job_ended:
-      return "job over";
+      return "job ended";
     case PreemptionEnd::superseded:
-      return "made again on another machine";
+      return "replaced by a preemption on another machine";
     case PreemptionEnd::machine_reused:
-      return "machine taken over by another";
+      return "machine preempted for another job";
     case PreemptionEnd::machine_lost:
-      return "machine lost";
+      return "machine accepts no more tasks";
     case PreemptionEnd::unclaimed:
-      return "unwanted";
+      return "unclaimed by any waiting job";
     case PreemptionEnd::expired:
       return "expired";
   }
--- a/tests/fair_share_test.cpp
+++ b/tests/fair_share_test.cpp
@@ -97,7 +97,7 @@
         // Half of the share is the threshold, since a single large job may go a little early or late.
         const double held = allocated[{team_classes[i], false}];
         EXPECT_TRUE(!has_waiting || held >= 0.5 * shares[i])
-            << "seed " << seed << ", " << now << ": starved " << team_classes[i].first << " "
+            << "seed " << seed << ", time " << now << ": starved: " << team_classes[i].first << " "
             << team_classes[i].second << " " << held;
       }
     }
@@ -183,7 +183,7 @@
   EXPECT_FALSE(bounds.covers("red", cores(4), 1));
   const auto raised = bounds.next_record({}, 1, false);
   ASSERT_TRUE(raised);
-  EXPECT_FALSE(bounds.covers("red", cores(4), 1)) << "used before it is committed";
+  EXPECT_FALSE(bounds.covers("red", cores(4), 1)) << "allowed before the raised bound was stored";
   bounds.record_stored();
   EXPECT_TRUE(bounds.covers("red", cores(4), 1));
 }
--- a/tests/largest_test.cpp
+++ b/tests/largest_test.cpp
@@ -163,7 +163,7 @@
   const SimJob& job() { return cluster.jobs().at(large_job); }
   void expect_started_in_time() {
     EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
-    ASSERT_GT(job().begun, 0) << "never begun";
+    ASSERT_GT(job().begun, 0) << "the large job was never started";
     EXPECT_LE(job().begun - job().created, 240);
   }
 };
@@ -176,7 +176,7 @@
   fixture.cluster.run(330);
   fixture.expect_started_in_time();
   EXPECT_TRUE(fixture.job().told_done)
-      << fixture.job().completed.size() << " of 40 tasks done while the flood lasts";
+      << fixture.job().completed.size() << " of 40 tasks done during the overload";
 }
 
 // The team of the large job has no guarantee and so borrows all that it uses, while another team submits more
@@ -233,7 +233,8 @@
     cluster.run(30);
     large_job = cluster.submit(make_array_job("guest", 40, 1, 10));
     cluster.run(149);
-    EXPECT_EQ(job().begun, 0) << "begun without its age: shows nothing";
+    EXPECT_EQ(job().begun, 0)
+        << "the large job started before its waiting time required it, so the test proves nothing";
   }
 };
 
@@ -269,14 +270,14 @@
   cluster.submit(impossible_job);
   cluster.run(200);
   cluster.check_served(240, 0);
-  EXPECT_FALSE(broke_rule(cluster, "unserved")) << "called late before its time";
+  EXPECT_FALSE(broke_rule(cluster, "unserved")) << "reported as unserved before its time was over";
   cluster.run(310);
   cluster.check_served(240, 0);
-  EXPECT_TRUE(broke_rule(cluster, "unserved")) << "not begun in time";
+  EXPECT_TRUE(broke_rule(cluster, "unserved")) << "job that was not started in time was not reported";
   cluster.broken().clear();
   cluster.check_served(1000, 0.5);
   EXPECT_NE(listing(cluster.broken()).find("largest of any: 0"), std::string::npos)
-      << "none of the largest done";
+      << "missing report that none of the largest jobs is done";
 }
 
 }  // namespace
