--- a/src/model/cancellation_bound.cpp
+++ b/src/model/cancellation_bound.cpp
@@ -33,9 +33,9 @@
 
 std::string CancellationBound::describe() const {
   return fmt::format(
-      "a cancelled task is gone within {:.1f} of {:.1f} s: {:.1f} since the leader last read the state, "
-      "{:.1f} "
-      "for a report under way, {:.1f} of the worker's lease, {:.1f} for drift and late ends",
+      "a task of a cancelled job is removed after at most {:.1f} s (limit {:.1f} s): "
+      "{:.1f} s maximum age of the leader's last state read, {:.1f} s for a heartbeat in flight, "
+      "{:.1f} s for the agent's lease, {:.1f} s for clock drift and late timers",
       worst_case_removal_s(), cancel_s_, max_read_age_s_, response_wait_s_, lease_s_,
       (max_read_age_s_ + lease_s_) * (kDriftAllowance - 1) + kAllowanceS);
 }
--- a/tests/agent_lease_test.cpp
+++ b/tests/agent_lease_test.cpp
@@ -18,30 +18,33 @@
   EXPECT_GT(expiry, 100 + kLeaseS * 1.0005 / 0.9995);
   EXPECT_LT(expiry, 100 + kLeaseS * 1.05);
   lease.record_renewal(90);
-  EXPECT_EQ(lease.latest_expiry_at(kLeaseS), expiry) << "what is noted late does not shorten it";
+  EXPECT_EQ(lease.latest_expiry_at(kLeaseS), expiry) << "an earlier renewal must not shorten the lease";
   lease.record_renewal(101);
   EXPECT_EQ(lease.latest_expiry_at(kLeaseS), expiry + 1);
 }
 
 TEST(AgentLeaseBounds, DirectStartIsUnsettledUntilAnsweredOrFenced) {
   InFlightStarts starts;
-  EXPECT_TRUE(starts.direct_starts_settled(FencingToken{0})) << "none was sent";
+  EXPECT_TRUE(starts.direct_starts_settled(FencingToken{0})) << "no start was sent";
   starts.record_direct_start();
-  EXPECT_FALSE(starts.direct_starts_settled(FencingToken{9})) << "unanswered, whatever fence was seen";
+  EXPECT_FALSE(starts.direct_starts_settled(FencingToken{9}))
+      << "an unanswered start is unsettled under any token";
   starts.record_direct_result(FencingToken{5}, true);
   EXPECT_TRUE(starts.direct_starts_settled(FencingToken{5}));
   starts.record_direct_start();
   starts.record_direct_start();
   starts.record_direct_result(FencingToken{5}, false);
-  EXPECT_FALSE(starts.direct_starts_settled(FencingToken{6})) << "one of two is unanswered";
+  EXPECT_FALSE(starts.direct_starts_settled(FencingToken{6})) << "one of two starts is unanswered";
   starts.record_direct_result(FencingToken{5}, true);
   EXPECT_TRUE(starts.in_doubt(FencingToken{5}));
-  EXPECT_FALSE(starts.direct_starts_settled(FencingToken{5})) << "given up: executed under the same fence";
+  EXPECT_FALSE(starts.direct_starts_settled(FencingToken{5}))
+      << "a timed-out start can still be executed under the same token";
   EXPECT_TRUE(starts.direct_starts_settled(FencingToken{6}));
   starts.record_direct_result(FencingToken{4}, false);
-  EXPECT_TRUE(starts.in_doubt(FencingToken{5})) << "a doubt is not lowered";
+  EXPECT_TRUE(starts.in_doubt(FencingToken{5})) << "the token with unknown outcome must not decrease";
   starts.record_direct_start();
-  EXPECT_FALSE(starts.direct_starts_settled(FencingToken{6})) << "an answer too many pays for no later start";
+  EXPECT_FALSE(starts.direct_starts_settled(FencingToken{6}))
+      << "a surplus response must not settle a later start";
 }
 
 TEST(AgentLeaseBounds, StartInResponseIsSettledByALaterHeartbeat) {
@@ -49,8 +52,9 @@
   EXPECT_TRUE(starts.response_start_settled(std::nullopt));
   EXPECT_FALSE(starts.is_reflected_in(7));
   starts.record_response_start(7);
-  EXPECT_FALSE(starts.is_reflected_in(7)) << "the report that it answered";
-  EXPECT_FALSE(starts.response_start_settled(std::nullopt)) << "a direct answer shows nothing of it";
+  EXPECT_FALSE(starts.is_reflected_in(7)) << "the heartbeat whose response carried the start";
+  EXPECT_FALSE(starts.response_start_settled(std::nullopt))
+      << "a response to a direct request proves nothing";
   EXPECT_FALSE(starts.response_start_settled(7));
   EXPECT_TRUE(starts.response_start_settled(8));
   EXPECT_TRUE(starts.is_reflected_in(8));
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -128,8 +128,9 @@
       graph.update(id, job.info);
     }
     const auto updates = graph.take_updates();
-    for (const auto& id : updates.ready) EXPECT_TRUE(released.insert(id).second) << "told twice";
-    for (const auto& id : updates.cancelled) EXPECT_TRUE(cancelled.insert(id).second) << "told twice";
+    for (const auto& id : updates.ready) EXPECT_TRUE(released.insert(id).second) << "reported as ready twice";
+    for (const auto& id : updates.cancelled)
+      EXPECT_TRUE(cancelled.insert(id).second) << "reported as cancelled twice";
     expect_matches_reference(graph, reference);
     for (const auto& [id, job] : reference.jobs)
       if (!job.dependencies.empty() && job.info.state == State::accepted) {
@@ -142,7 +143,7 @@
       job.info.state = State::cancelled;
       graph.update(id, job.info);
     }
-  EXPECT_EQ(graph.size(), 0U) << "the graph keeps what is over";
+  EXPECT_EQ(graph.size(), 0U) << "the graph must not keep jobs that have ended";
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomGraph, testing::Range(1U, 13U));
