--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -37,7 +37,7 @@
                  try {
                    done(wire::parse_machine_types(wire::parse_object(response.body)));
                  } catch (const std::exception& error) {
-                   log_->error("cloud: catalogue cannot be read: {}", error.what());
+                   log_->error("cloud: catalogue cannot be parsed: {}", error.what());
                    done(std::nullopt);
                  }
                }));
@@ -107,7 +107,7 @@
           auto last_id = listed.back().id.value;
           list_page(std::move(last_id), std::move(listed), std::move(done));
         } catch (const std::exception& error) {
-          log_->error("cloud: list cannot be read: {}", error.what());
+          log_->error("cloud: machine list cannot be parsed: {}", error.what());
           done(std::nullopt);
         }
       }));
--- a/src/leader/autoscaler.cpp
+++ b/src/leader/autoscaler.cpp
@@ -20,7 +20,7 @@
 // Time for whose expected services cores are reserved, in control intervals.
 constexpr double kReserveLeadIntervals = 2;
 constexpr double kRoundingTolerance = 1e-6;
-const std::string kExcessReason = "more than planned";
+const std::string kExcessReason = "in excess of the plan";
 }  // namespace
 
 Autoscaler::Autoscaler(runtime::Loop& loop, runtime::Log log, Settings settings, View view, Ports ports)
@@ -60,9 +60,9 @@
   const auto wanted = wanted_cores(plan, offers);
   const auto present = present_cores();
   Cores missing{wanted.on_demand - present.on_demand, wanted.preemptible - present.preemptible};
-  log_->debug("plan: {:.0f} steady and {:.0f} spot cores wanted, {:.0f} and {:.0f} there or coming{}",
+  log_->debug("plan: {:.0f} on-demand and {:.0f} spot cores wanted, {:.0f} and {:.0f} present or requested{}",
               wanted.on_demand, wanted.preemptible, present.on_demand, present.preemptible,
-              demand.has_waiting_tasks ? ", work waits" : "");
+              demand.has_waiting_tasks ? ", tasks are waiting" : "");
 
   rent_missing_cores(missing.preemptible, true, offers);
   // Exception to the design (the first doubt listed there): alpha's share of the budget must not stay
@@ -298,7 +298,7 @@
     if (machine->terminating || !ports_.cancel_drain(*machine, kExcessReason)) continue;
     machine->idle_since = loop_.now();
     missing_on_demand_cores -= machine->capacity.cores;
-    ports_.count_event("surplus machines wanted again");
+    ports_.count_event("drains of excess machines cancelled");
   }
 }
 
@@ -310,7 +310,7 @@
   excess_cores_ -= machine.capacity.cores;
   ports_.drain(machine, kExcessReason);
   excess_machines_.insert(machine.id);
-  ports_.count_event("machines surplus");
+  ports_.count_event("excess machines drained");
 }
 
 bool Autoscaler::terminate_if_idle(Machine& machine) {
--- a/src/leader/rental_manager.cpp
+++ b/src/leader/rental_manager.cpp
@@ -15,7 +15,7 @@
 // Time for which terminated machines are remembered, in lease durations: copies of their heartbeats arrive
 // for several lease durations after the termination.
 constexpr double kTerminatedRetentionLeases = 90;
-const std::string kFailedInListReason = "failed by the cloud's list";
+const std::string kFailedInListReason = "failed according to the cloud's list";
 }  // namespace
 
 void TerminatedMachines::add(const wire::MachineId& machine_id, double now) {
@@ -91,9 +91,12 @@
   const double remaining = static_cast<double>(settings_.machine_limit) - machines;
   const bool at_limit = remaining < 1;
   if (at_limit && !at_machine_limit_)
-    log_->warn("fleet: {:.0f} machines are all that these controllers' sockets can serve; renting no more",
-               machines);
-  if (!at_limit && at_machine_limit_) log_->info("fleet: below what these controllers can serve again");
+    log_->warn(
+        "fleet: machine limit reached: {:.0f} machines are present or requested, the controllers' "
+        "sockets can serve no more; renting no machines",
+        machines);
+  if (!at_limit && at_machine_limit_)
+    log_->info("fleet: below the machine limit of the controllers again; renting is possible");
   at_machine_limit_ = at_limit;
   return std::max(0.0, remaining);
 }
@@ -153,7 +156,7 @@
   auto& rental = rentals_[name];
   rental.record = {pool.machine_type, pool.zone, pool.preemptible, count, loop_.wall(), std::nullopt};
   rental.request_in_progress = true;
-  log_->info("rental {}: {} x {} in {}{}", name, count, pool.machine_type, pool.zone,
+  log_->info("rental {}: requesting {} x {} in {}{}", name, count, pool.machine_type, pool.zone,
              pool.preemptible ? ", spot" : "");
   // Invariant 3: stored before it is requested.
   ports_.store_request(name, rental.record, [this, name] { send_request(name); });
@@ -181,7 +184,8 @@
   if (result.status == cloud::RentalResult::Status::no_capacity ||
       result.machines.size() < rental.record.count) {
     capacity_backoff_.record_stockout(pool, loop_.now(), settings_.round_s);
-    log_->info("rental {}: {} of {} to be had", name, result.machines.size(), rental.record.count);
+    log_->info("rental {}: {} of {} machines granted, the cloud has no more capacity", name,
+               result.machines.size(), rental.record.count);
     ports_.plan_soon();
   } else {
     capacity_backoff_.reset(pool);
@@ -248,9 +252,9 @@
 
 void RentalManager::terminate(Machine& machine, const std::string& reason) {
   if (std::exchange(machine.terminating, true)) return;
-  log_->debug("machine {}: releasing it, {} ({} tasks bound)", machine.id.value, reason,
+  log_->debug("machine {}: terminating it, reason: {} ({} tasks assigned)", machine.id.value, reason,
               machine.assignments.size());
-  ports_.count_event("machines released (" + reason + ")");
+  ports_.count_event("machines terminated (" + reason + ")");
   ports_.on_terminating(machine);
   pending_terminations_.insert(machine.id);
   fleet_.refresh(machine);
@@ -296,7 +300,7 @@
   if (added) {
     // The machine was rented by a request that arrived late, or was already running at the start. It is used
     // or terminated like any other machine.
-    log_->debug("machine {}: listed but unexpected, adding it", listed.id.value);
+    log_->debug("machine {}: unexpected machine in the cloud's list, adding it", listed.id.value);
     ports_.count_event("unexpected machines");
     machine->machine_type = listed.machine_type;
     machine->zone = listed.zone;
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -303,7 +303,7 @@
   autoscaler.drain_if_excess(second);
   EXPECT_TRUE(first.draining);
   EXPECT_FALSE(second.draining);
-  EXPECT_EQ(events["machines surplus"], 1);
+  EXPECT_EQ(events["excess machines drained"], 1);
   // The drained machine already uses up the idle preemptible machine.
   plan();
   autoscaler.drain_if_excess(second);
@@ -349,7 +349,7 @@
   EXPECT_FALSE(machine.draining);
   EXPECT_EQ(machine.idle_since, planned_at);
   EXPECT_TRUE(requests.empty());
-  EXPECT_EQ(events["surplus machines wanted again"], 1);
+  EXPECT_EQ(events["drains of excess machines cancelled"], 1);
 }
 
 TEST_F(AutoscalerTest, ForgetsDrainedMachinesThatWereTerminated) {
--- a/tests/rental_manager_test.cpp
+++ b/tests/rental_manager_test.cpp
@@ -382,7 +382,7 @@
   loop.run_posted();
   EXPECT_TRUE(machine.terminating);
   EXPECT_EQ(terminating, machine_ids(1));
-  EXPECT_EQ(events, (std::map<std::string, int>{{"machines released (idle)", 1}}));
+  EXPECT_EQ(events, (std::map<std::string, int>{{"machines terminated (idle)", 1}}));
   ASSERT_EQ(terminations.size(), 1U);
   EXPECT_EQ(terminations[0].machines, machine_ids(1));
 }
@@ -483,7 +483,7 @@
   ASSERT_EQ(terminations.size(), 1U);
   EXPECT_EQ(terminations[0].machines, std::vector<wire::MachineId>{{"n-2"}});
   EXPECT_EQ(events["unexpected machines"], 2);
-  EXPECT_EQ(events["machines released (failed by the cloud's list)"], 1);
+  EXPECT_EQ(events["machines terminated (failed according to the cloud's list)"], 1);
 }
 
 TEST_F(RentalManagerTest, ListsTheCloudsMachinesOneRequestAtATime) {
