--- a/src/leader/rental_manager.cpp
+++ b/src/leader/rental_manager.cpp
@@ -92,12 +92,11 @@
   const bool at_limit = remaining < 1;
   if (at_limit && !at_machine_limit_)
     log_->warn(
-        "fleet: machine limit reached: {:.0f} machines are present or requested, the controllers' sockets "
-        "can "
-        "serve no more; renting no machines",
+        "fleet: machine limit reached: {:.0f} machines are present or requested, the controllers' "
+        "sockets can serve no more; renting no machines",
         machines);
   if (!at_limit && at_machine_limit_)
-    log_->info("fleet: below the machine limit of the controllers again; renting machines");
+    log_->info("fleet: below the machine limit of the controllers again; renting is possible");
   at_machine_limit_ = at_limit;
   return std::max(0.0, remaining);
 }
