--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -30,8 +30,8 @@
   result.value_kb = settings.state_value_kb;
   result.final_states_kept = settings.own.final_states_kept;
   for (const auto& team : settings.teams) result.teams.push_back({team.name, team.guarantee, team.limit});
-  result.within_s = settings.within_s;
-  result.deadline_times = settings.deadline_times;
+  result.completion_targets_s = settings.completion_targets_s;
+  result.deadline_multiples = settings.deadline_multiples;
   result.alpha = settings.own.alpha;
   result.phi = settings.own.phi;
   result.round_s = settings.own.round_intervals * settings.control_interval_s;
@@ -82,7 +82,7 @@
           loop, store_, log, settings.host_name, incarnation,
           election::timing_from(settings.cancel_budget().leader_ttl_s()),
           [this](election::LeaseValidity validity) {
-            leader_.tell(leader::LeaseGranted{validity.lease_id, validity.until});
+            leader_.tell(leader::LeaseGranted{validity.lease_id, validity.valid_until});
           },
           [this] { return relay_.any_peer(); }),
       leader_(loop, log, leader_settings(settings, incarnation, follower_.policy()),
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -124,10 +124,10 @@
   const auto kind = item.value("kind", "");
   if (!job_class) return;
   if (kind == "finished") {
-    settings.within_s[*job_class].push_back(wire::amount_field(item, "within_s"));
+    settings.completion_targets_s[*job_class].push_back(wire::amount_field(item, "within_s"));
   } else if (kind == "deadline") {
     const double times = wire::absent(item, "times") ? 1 : wire::amount_field(item, "times");
-    settings.deadline_times[*job_class].push_back(times);
+    settings.deadline_multiples[*job_class].push_back(times);
   }
 }
 
@@ -137,8 +137,8 @@
 
 void read_objectives(const Json& objectives, Settings& settings) {
   for (const auto& item : objectives) read_objective(item, settings);
-  sort_each(settings.within_s);
-  sort_each(settings.deadline_times);
+  sort_each(settings.completion_targets_s);
+  sort_each(settings.deadline_multiples);
 }
 
 void read_workers(const Json& workers, Settings& settings) {
@@ -323,7 +323,7 @@
   policy::Site site;
   for (const auto& team : settings.teams) site.teams.insert(team.name);
   site.classes = settings.classes;
-  site.most_machines = settings.max_machines();
+  site.max_machines = settings.max_machines();
   try {
     settings.policy = policy::parse_policy(yaml_text, site);
   } catch (const policy::PolicyError& error) {
--- a/src/app/settings.hpp
+++ b/src/app/settings.hpp
@@ -100,11 +100,11 @@
   std::string state;
   std::vector<TeamSettings> teams;
   // Class -> times in which its jobs should be done, rising.
-  std::map<std::string, std::vector<double>> within_s;
+  std::map<std::string, std::vector<double>> completion_targets_s;
   std::size_t controllers = 1;
   std::string main_zone;  // that has more controllers than any other; empty if none has
   // Class -> multiples of their deadlines by which its jobs should be done, rising.
-  std::map<std::string, std::vector<double>> deadline_times;
+  std::map<std::string, std::vector<double>> deadline_multiples;
   std::set<std::string> classes;  // that the objectives name
   double heartbeat_interval_s = 0;
   // What is asked again, waited for or given up goes by this: the heartbeat interval where reports are
--- a/src/calendar/calendar.cpp
+++ b/src/calendar/calendar.cpp
@@ -126,7 +126,7 @@
 
 Calendar::Calendar(Rules rules, Zone zone) : rules_(std::move(rules)), zone_(std::move(zone)) {
   for (const auto& filing : rules_.dates)
-    dated_.push_back(zone_.moment(working_day(rules_, filing.on), filing.at_s.value_or(kDayS)));
+    dated_.push_back(zone_.moment(working_day(rules_, filing.date), filing.time_of_day_s.value_or(kDayS)));
   std::sort(dated_.begin(), dated_.end());
 }
 
@@ -150,7 +150,7 @@
     std::optional<double> first;
     for (const auto& weekly : rules_.weekly) {
       if (!weekly.days.contains(weekday)) continue;
-      const double moment = zone_.moment(Date(day), weekly.at_s);
+      const double moment = zone_.moment(Date(day), weekly.time_of_day_s);
       if (moment > after && (!first || moment < *first)) first = moment;
     }
     if (first) return first;
--- a/src/calendar/calendar.hpp
+++ b/src/calendar/calendar.hpp
@@ -41,13 +41,13 @@
 
 struct Weekly {
   std::set<unsigned> days;  // 0: Sunday
-  int at_s = 0;             // local time, seconds since the day's beginning
+  int time_of_day_s = 0;    // local time, seconds since the day's beginning
   bool operator==(const Weekly&) const = default;
 };
 
 struct Filing {
-  Date on;
-  std::optional<int> at_s;  // none: the end of the day
+  Date date;
+  std::optional<int> time_of_day_s;  // none: the end of the day
   bool operator==(const Filing&) const = default;
 };
 
--- a/src/calendar/deadline_forecast.cpp
+++ b/src/calendar/deadline_forecast.cpp
@@ -36,18 +36,18 @@
 }
 }  // namespace
 
-void DeadlineForecast::begin(double now) {
+void DeadlineForecast::start_update(double now) {
   now_ = now;
   left_.clear();
 }
 
-void DeadlineForecast::add(const std::string& team, double cutoff, double core_s, double task_s) {
+void DeadlineForecast::add_work(const std::string& team, double cutoff, double core_s, double task_s) {
   auto& left = left_[{team, cutoff}];
   left.core_s += core_s;
   if (now_ + task_s > cutoff) left.late_core_s += core_s;
 }
 
-std::vector<DeadlineForecast::ForecastChange> DeadlineForecast::end(
+std::vector<DeadlineForecast::ForecastChange> DeadlineForecast::finish_update(
     const std::function<Supply(const std::string& team)>& supply) {
   std::map<Key, Known> found;
   double sum = 0;  // of this tenant's work until this cutoff: what is due earlier goes first
--- a/src/calendar/deadline_forecast.hpp
+++ b/src/calendar/deadline_forecast.hpp
@@ -20,16 +20,16 @@
     double more_s = 0;  // until more than now are there
   };
   struct ForecastChange {  // what has changed
-    std::string owner;
+    std::string team;
     double cutoff = 0;
     State state = State::on_time;
     std::string text;  // for the log, and of all but `on_time` for the jobs
   };
 
   // Each look begins anew, takes the unfinished work of every job with a cutoff, and ends with what changed.
-  void begin(double now);
-  void add(const std::string& team, double cutoff, double core_s, double task_s);
-  std::vector<ForecastChange> end(const std::function<Supply(const std::string& team)>& supply);
+  void start_update(double now);
+  void add_work(const std::string& team, double cutoff, double core_s, double task_s);
+  std::vector<ForecastChange> finish_update(const std::function<Supply(const std::string& team)>& supply);
   // Nothing to be told: empty.
   const std::string& reason(const std::string& team, double cutoff) const;
   void clear() { told_.clear(); }
--- a/src/election/elector.cpp
+++ b/src/election/elector.cpp
@@ -40,7 +40,8 @@
   if (entry == nullptr) return std::nullopt;
   // Unreadable, it is all the same somebody's: it must not be taken for free.
   return store_
-      .parsed(wire::kLeaderKey, entry->revision, [entry] { return wire::parse_leader_record(entry->data); })
+      .try_parse(wire::kLeaderKey, entry->revision,
+                 [entry] { return wire::parse_leader_record(entry->data); })
       .value_or(wire::LeaderRecord{});
 }
 
@@ -48,8 +49,8 @@
 std::optional<std::uint64_t> Elector::term() const {
   const auto* entry = view_.find(wire::kTermKey);
   if (entry == nullptr) return 0;
-  return store_.parsed(wire::kTermKey, entry->revision,
-                       [entry] { return wire::count_field(entry->data, "n"); });
+  return store_.try_parse(wire::kTermKey, entry->revision,
+                          [entry] { return wire::count_field(entry->data, "n"); });
 }
 
 bool Elector::leading() const {
--- a/src/election/elector.hpp
+++ b/src/election/elector.hpp
@@ -25,7 +25,7 @@
 // Until when this controller may act as the holder of `hold`, on its own steady clock.
 struct LeaseValidity {
   std::uint64_t lease_id = 0;
-  double until = 0;
+  double valid_until = 0;
 };
 
 // Messages.
--- a/src/gang/gang_scheduler.cpp
+++ b/src/gang/gang_scheduler.cpp
@@ -17,32 +17,32 @@
   shortages_.clear();
 }
 
-void GangScheduler::follow(const wire::JobSpec& spec, std::uint32_t span, double fetch_s) {
-  tracker_.follow(spec.id, spec.task_count, span, fetch_s);
-  if (tracker_.follows(spec.id)) requests_[spec.id] = spec.request;
+void GangScheduler::add_job(const wire::JobSpec& spec, std::uint32_t span, double fetch_s) {
+  tracker_.add_job(spec.id, spec.task_count, span, fetch_s);
+  if (tracker_.has_job(spec.id)) requests_[spec.id] = spec.request;
 }
 
-void GangScheduler::leave(const wire::JobId& job) {
-  tracker_.leave(job);
+void GangScheduler::remove_job(const wire::JobId& job) {
+  tracker_.remove_job(job);
   shortages_.erase(job);
 }
 
-std::vector<Action> GangScheduler::act(Fleet& fleet) {
+std::vector<Action> GangScheduler::apply_reservations(Fleet& fleet) {
   std::vector<Action> stops;
   for (auto& action : tracker_.take()) {
     if (action.kind == Action::Kind::keep)
-      reservations_.keep(fleet, action.replica, action.machine_id, requests_.at(action.replica.first));
+      reservations_.keep(fleet, action.gang_id, action.machine_id, requests_.at(action.gang_id.first));
     else if (action.kind == Action::Kind::drop)
-      reservations_.drop(fleet, action.replica, action.machine_id);
+      reservations_.drop(fleet, action.gang_id, action.machine_id);
     else
       stops.push_back(std::move(action));
   }
-  std::erase_if(requests_, [this](const auto& entry) { return !tracker_.follows(entry.first); });
+  std::erase_if(requests_, [this](const auto& entry) { return !tracker_.has_job(entry.first); });
   return stops;
 }
 
-std::optional<Start> GangScheduler::place(Fleet& fleet, const PlacementRequest& want,
-                                          const GangConstraints& site, double now) {
+std::optional<Start> GangScheduler::place_gang(Fleet& fleet, const PlacementRequest& want,
+                                               const GangConstraints& site, double now) {
   Search search{site.spec,           want.tasks.size(), want.reserved, want.peers, want.zone,
                 site.preferred_zone, site.image_pull_s, site.suits,    {}};
   search.avoid.insert(want.avoid.begin(), want.avoid.end());
@@ -94,7 +94,7 @@
   return std::move(held.spots);
 }
 
-bool GangScheduler::move(Fleet& fleet, const Move& move, const GangConstraints& site, double now) {
+bool GangScheduler::begin_move(Fleet& fleet, const Move& move, const GangConstraints& site, double now) {
   const auto span = move.leaving_tasks.size() + move.staying.size();
   Search search{site.spec,           move.leaving_tasks.size(), {},         {}, {},
                 site.preferred_zone, site.image_pull_s,         site.suits, {}};
@@ -129,7 +129,7 @@
 
 const std::map<wire::JobId, Shortage>& GangScheduler::shortages(double now) {
   std::erase_if(shortages_, [&](const auto& entry) {
-    return tracker_.wants(entry.first, 1, now).empty() && !tracker_.leaving(entry.first);
+    return tracker_.placement_requests(entry.first, 1, now).empty() && !tracker_.leaving(entry.first);
   });
   return shortages_;
 }
--- a/src/gang/gang_scheduler.hpp
+++ b/src/gang/gang_scheduler.hpp
@@ -42,19 +42,19 @@
   GangTracker& tracker() { return tracker_; }
   const GangTracker& tracker() const { return tracker_; }
   void clear();
-  void follow(const wire::JobSpec& spec, std::uint32_t span, double fetch_s);
-  void leave(const wire::JobId& job);
-  bool follows(const wire::JobId& job) const { return tracker_.follows(job); }
-  bool any() const { return tracker_.any(); }
+  void add_job(const wire::JobSpec& spec, std::uint32_t span, double fetch_s);
+  void remove_job(const wire::JobId& job);
+  bool has_job(const wire::JobId& job) const { return tracker_.has_job(job); }
+  bool has_work() const { return tracker_.has_work(); }
 
   // Carries out what the board wants kept and dropped; returns what is to be stopped.
-  std::vector<Action> act(model::Fleet& fleet);
+  std::vector<Action> apply_reservations(model::Fleet& fleet);
   // Places for all that the replica lacks: it counts as started, the caller binds and orders. Nothing: not
   // now.
-  std::optional<Start> place(model::Fleet& fleet, const PlacementRequest& want, const GangConstraints& site,
-                             double now);
+  std::optional<Start> place_gang(model::Fleet& fleet, const PlacementRequest& want,
+                                  const GangConstraints& site, double now);
   // Reserves all places of a move: the replica is then stopped. False: there are none.
-  bool move(model::Fleet& fleet, const Move& move, const GangConstraints& site, double now);
+  bool begin_move(model::Fleet& fleet, const Move& move, const GangConstraints& site, double now);
   // What the replicas of jobs that found no place lack.
   const std::map<wire::JobId, Shortage>& shortages(double now);
 
--- a/src/gang/gang_tracker.cpp
+++ b/src/gang/gang_tracker.cpp
@@ -22,7 +22,7 @@
   actions_.clear();
 }
 
-void GangTracker::follow(const wire::JobId& job, std::uint32_t members, std::uint32_t span, double fetch_s) {
+void GangTracker::add_job(const wire::JobId& job, std::uint32_t members, std::uint32_t span, double fetch_s) {
   if (span < 2) return;
   Job item;
   item.span = span;
@@ -34,7 +34,7 @@
   jobs_.insert_or_assign(job, std::move(item));
 }
 
-void GangTracker::leave(const wire::JobId& job) {
+void GangTracker::remove_job(const wire::JobId& job) {
   const auto found = jobs_.find(job);
   if (found == jobs_.end()) return;
   for (std::uint32_t number = 0; number < found->second.replicas.size(); ++number) {
@@ -186,7 +186,7 @@
   note(id, replica);
 }
 
-void GangTracker::found(const wire::TaskId& task_id, const Placement& spot, double now) {
+void GangTracker::on_task_found(const wire::TaskId& task_id, const Placement& spot, double now) {
   const auto [id, place] = place_of(task_id);
   auto* replica = find(id);
   if (replica == nullptr) return;
@@ -205,7 +205,7 @@
   note(id, *replica);
 }
 
-void GangTracker::running(const wire::TaskId& task_id, double now) {
+void GangTracker::on_task_running(const wire::TaskId& task_id, double now) {
   const auto [id, place] = place_of(task_id);
   auto* replica = find(id);
   if (replica == nullptr || replica->tasks[place].state != State::sent) return;
@@ -213,7 +213,7 @@
   settle(id, *replica, now);
 }
 
-void GangTracker::gone(const wire::TaskId& task_id, double now) {
+void GangTracker::on_task_ended(const wire::TaskId& task_id, double now) {
   const auto [id, place] = place_of(task_id);
   auto* replica = find(id);
   if (replica == nullptr || replica->tasks[place].state == State::absent) return;
@@ -224,7 +224,7 @@
     stop(id, *replica, true, now);
 }
 
-void GangTracker::failing(const wire::TaskId& task_id, double now) {
+void GangTracker::on_task_failing(const wire::TaskId& task_id, double now) {
   const auto [id, place] = place_of(task_id);
   auto* replica = find(id);
   if (replica == nullptr || replica->tasks[place].state == State::absent) return;
@@ -232,7 +232,7 @@
   stop(id, *replica, true, now);
 }
 
-void GangTracker::must_leave(const wire::TaskId& task_id, bool taken, double now) {
+void GangTracker::request_move(const wire::TaskId& task_id, bool taken, double now) {
   const auto [id, place] = place_of(task_id);
   auto* replica = find(id);
   if (replica == nullptr || replica->tasks[place].state == State::absent) return;
@@ -244,7 +244,7 @@
   note(id, *replica);
 }
 
-void GangTracker::may_stay(const wire::TaskId& task_id) {
+void GangTracker::cancel_move_request(const wire::TaskId& task_id) {
   const auto [id, place] = place_of(task_id);
   auto* replica = find(id);
   if (replica == nullptr) return;
@@ -339,7 +339,8 @@
   stop(id, *replica, true, now);
 }
 
-std::vector<PlacementRequest> GangTracker::wants(const wire::JobId& job, std::size_t most, double now) const {
+std::vector<PlacementRequest> GangTracker::placement_requests(const wire::JobId& job, std::size_t most,
+                                                              double now) const {
   std::vector<PlacementRequest> result;
   const auto found = jobs_.find(job);
   if (found == jobs_.end()) return result;
@@ -373,7 +374,7 @@
   return result;
 }
 
-std::vector<Move> GangTracker::moves(double now) const {
+std::vector<Move> GangTracker::allowed_moves(double now) const {
   std::vector<Move> result;
   std::map<wire::JobId, std::size_t> chosen;
   for (const auto& id : leavers_) {
@@ -384,7 +385,7 @@
     });
     // What the cloud takes ends anyway. All else waits for its turn, and the last whole one stays.
     if (!taken) {
-      const auto serving = whole(id.first) - chosen[id.first];
+      const auto serving = running_gangs(id.first) - chosen[id.first];
       const auto out = job.replicas.size() - serving;
       const auto most = std::max<std::size_t>(
           1, static_cast<std::size_t>(settings_.moving * static_cast<double>(job.replicas.size())));
@@ -423,7 +424,7 @@
   return replica->phase;
 }
 
-std::size_t GangTracker::whole(const wire::JobId& job) const {
+std::size_t GangTracker::running_gangs(const wire::JobId& job) const {
   const auto found = jobs_.find(job);
   if (found == jobs_.end()) return 0;
   return static_cast<std::size_t>(
--- a/src/gang/gang_tracker.hpp
+++ b/src/gang/gang_tracker.hpp
@@ -39,9 +39,9 @@
     drop,  // no more
   };
   Kind kind = Kind::stop;
-  ReplicaId replica;
-  std::uint32_t task = 0;      // of `stop`
-  wire::MachineId machine_id;  // of `keep` and `drop`
+  ReplicaId gang_id;
+  std::uint32_t task_index = 0;  // of `stop`
+  wire::MachineId machine_id;    // of `keep` and `drop`
   bool operator==(const Action&) const = default;
 };
 
@@ -76,24 +76,24 @@
   void clear();
 
   // A job whose tasks make replicas of `span` members; `fetch_s` is what its image takes at most.
-  void follow(const wire::JobId& job, std::uint32_t members, std::uint32_t span, double fetch_s);
-  void leave(const wire::JobId& job);
-  bool any() const { return !jobs_.empty() || !actions_.empty(); }
-  bool follows(const wire::JobId& job) const { return jobs_.contains(job); }
+  void add_job(const wire::JobId& job, std::uint32_t members, std::uint32_t span, double fetch_s);
+  void remove_job(const wire::JobId& job);
+  bool has_work() const { return !jobs_.empty() || !actions_.empty(); }
+  bool has_job(const wire::JobId& job) const { return jobs_.contains(job); }
   std::uint32_t span(const wire::JobId& job) const;  // 1 if it is not followed
   // Members that make no replica: they stay queued.
   std::uint32_t unusable_tasks(const wire::JobId& job) const;
 
   // Events.
   // Found on a machine, from the time of an earlier leader; `running` or still on its way.
-  void found(const wire::TaskId& task_id, const Placement& spot, double now);
-  void running(const wire::TaskId& task_id, double now);
-  void gone(const wire::TaskId& task_id, double now);
+  void on_task_found(const wire::TaskId& task_id, const Placement& spot, double now);
+  void on_task_running(const wire::TaskId& task_id, double now);
+  void on_task_ended(const wire::TaskId& task_id, double now);
   // It will end, or is taken for lost, or stops by itself: its peers need not go on.
-  void failing(const wire::TaskId& task_id, double now);
+  void on_task_failing(const wire::TaskId& task_id, double now);
   // Its machine is to be left; `taken`: the cloud takes it, the others of its job may go at the same time.
-  void must_leave(const wire::TaskId& task_id, bool taken, double now);
-  void may_stay(const wire::TaskId& task_id);
+  void request_move(const wire::TaskId& task_id, bool taken, double now);
+  void cancel_move_request(const wire::TaskId& task_id);
   // All members of these were started: `spots` in the order of `want.members`.
   void started(const PlacementRequest& want, const std::vector<Placement>& spots, double now);
   // Places for all members, in the order of their numbers, are to be kept and the replica moved there.
@@ -105,7 +105,7 @@
 
   // What time brings; `settled` says whether all machines that may hold a job's members are heard.
   template <class Settled>
-  void pass(double now, const Settled& settled) {
+  void advance(double now, const Settled& settled) {
     look(now);
     for (const auto& id : std::set<ReplicaId>(halves_))
       if (settled(id.first)) judge(id, now);
@@ -113,14 +113,15 @@
   std::vector<Action> take() { return std::exchange(actions_, {}); }
 
   // Up to `most` replicas of a job with members to place, those that lack least first.
-  std::vector<PlacementRequest> wants(const wire::JobId& job, std::size_t most, double now) const;
+  std::vector<PlacementRequest> placement_requests(const wire::JobId& job, std::size_t most,
+                                                   double now) const;
   // Whole replicas that may be moved now.
-  std::vector<Move> moves(double now) const;
+  std::vector<Move> allowed_moves(double now) const;
 
   // Whether a whole replica of the job is to go elsewhere.
   bool leaving(const wire::JobId& job) const;
   std::optional<Phase> phase(const ReplicaId& id) const;
-  std::size_t whole(const wire::JobId& job) const;
+  std::size_t running_gangs(const wire::JobId& job) const;
   // The replica that room is kept for although it lacks some.
   const std::optional<ReplicaId>& holder() const { return holder_; }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -53,7 +53,7 @@
       jobs_(loop, log_, store, final_states_kept,
             [this](const JobId& id) { retry_after_.request_served(id.value); }) {}
 
-bool Gateway::state_ok() const { return store_.synced() && store_.silence() < kStateSilenceS; }
+bool Gateway::state_ok() const { return store_.synced() && store_.update_age_s() < kStateSilenceS; }
 
 bool Gateway::healthy() const {
   // Without the catalogue no submission can be judged, but questions about known jobs can be answered.
@@ -63,7 +63,7 @@
   // When nobody has it, leaving the load balancer would help no one and delay the return. Where some are not
   // heard, they may be those who have it.
   if (!store_.synced()) return false;
-  return relay_.all_peers() || (relay_.any_peer() && store_.silence() < kCutOffS);
+  return relay_.all_peers() || (relay_.any_peer() && store_.update_age_s() < kCutOffS);
 }
 
 void Gateway::on(StoreChanged& message) { jobs_.apply(*message.changes); }
@@ -216,7 +216,7 @@
     return call->reply(responses::rejected({RejectionReason::description_too_long, {}}));
   // Beyond the limit each try cost two requests, its own and a peer's, again each second: at four times
   // fjordskatt-fleet 40,000 of them, and what else the controllers needed was refused with them.
-  if (store_.writes_used_up()) return call->reply(rate_limited(id));
+  if (store_.is_write_limit_exhausted()) return call->reply(rate_limited(id));
   // Users who repeat submissions at all controllers at once: each that has not heard of the job yet would
   // spend a put on a condition that fails. One read barrier serves all of them.
   if (loop().now() < look_first_until_ && !std::exchange(submission->looked_elsewhere, true))
--- a/src/gateway/job_index.cpp
+++ b/src/gateway/job_index.cpp
@@ -56,8 +56,8 @@
 }
 
 void JobIndex::apply_catalogue(const state::Change& change) {
-  auto machine_types = store_.parsed(change.key, change.revision,
-                                     [&] { return catalogue_reader_.learn(change.key, change.data); });
+  auto machine_types = store_.try_parse(change.key, change.revision,
+                                        [&] { return catalogue_reader_.learn(change.key, change.data); });
   if (machine_types && *machine_types) machine_types_ = std::move(**machine_types);
 }
 
@@ -77,8 +77,8 @@
 
 void JobIndex::learn(const JobId& id, const state::Entry& entry) {
   if (const auto* known = find(id); known != nullptr && known->revision >= entry.revision) return;
-  auto record = store_.parsed(wire::job_key(id), entry.revision,
-                              [&entry] { return wire::parse_job_record(entry.data); });
+  auto record = store_.try_parse(wire::job_key(id), entry.revision,
+                                 [&entry] { return wire::parse_job_record(entry.data); });
   if (!record) return learn_unreadable(id, entry);
   auto& job = jobs_[id];
   const bool first_seen = job.revision.value == 0;
@@ -140,8 +140,8 @@
       complete = false;
       continue;
     }
-    auto needs = store_.parsed(found->first, revision,
-                               [&found] { return wire::parse_dependencies_part(found->second); });
+    auto needs = store_.try_parse(found->first, revision,
+                                  [&found] { return wire::parse_dependencies_part(found->second); });
     if (!needs) {
       complete = false;
       continue;
@@ -209,12 +209,13 @@
 
 // Reads a job that left memory.
 void JobIndex::fetch(const JobId& id, const LookupDone& done) {
-  store_.tell(state::FetchKey{
-      wire::job_key(id),
-      lifetime_.guard([this, id, done](const state::KeyAnswer& answer) { finish_fetch(id, answer, done); })});
+  store_.tell(
+      state::FetchKey{wire::job_key(id), lifetime_.guard([this, id, done](const state::KeyResponse& answer) {
+                        finish_fetch(id, answer, done);
+                      })});
 }
 
-void JobIndex::finish_fetch(const JobId& id, const state::KeyAnswer& answer, const LookupDone& done) {
+void JobIndex::finish_fetch(const JobId& id, const state::KeyResponse& answer, const LookupDone& done) {
   if (answer.status == state::KeyStatus::unknown) return done({LookupStatus::unavailable});
   if (answer.status == state::KeyStatus::missing) return done({LookupStatus::never_accepted});
   learn_if_final(id, *answer.entry);
--- a/src/gateway/job_index.hpp
+++ b/src/gateway/job_index.hpp
@@ -92,7 +92,7 @@
   void forget_oldest();
   void finish_look_up(const wire::JobId& id, const LookupDone& done);
   void fetch(const wire::JobId& id, const LookupDone& done);
-  void finish_fetch(const wire::JobId& id, const state::KeyAnswer& answer, const LookupDone& done);
+  void finish_fetch(const wire::JobId& id, const state::KeyResponse& answer, const LookupDone& done);
 
   runtime::Loop& loop_;
   runtime::Log log_;
--- a/src/leader/autoscaler.cpp
+++ b/src/leader/autoscaler.cpp
@@ -37,7 +37,7 @@
   if (!view_.machine_types.empty()) service_demand_.forget_before(loop_.wall() - demand_window_s());
 }
 
-void Autoscaler::plan_soon() {
+void Autoscaler::schedule_planning() {
   if (plan_scheduled_) return;
   plan_scheduled_ = true;
   const double delay_s =
--- a/src/leader/autoscaler.hpp
+++ b/src/leader/autoscaler.hpp
@@ -88,7 +88,7 @@
   }
 
   // Schedules a planning round on the event loop, with a minimum gap to the last round.
-  void plan_soon();
+  void schedule_planning();
 
   // The leader calls this and terminate_if_idle() periodically for each machine that is up.
   // Drains the machine if it is in excess of the plan.
--- a/src/leader/dependencies.cpp
+++ b/src/leader/dependencies.cpp
@@ -52,8 +52,9 @@
     const auto* entry = cache_.find(wire::dependencies_key(id, part));
     incomplete = incomplete || entry == nullptr;
     if (entry == nullptr) continue;
-    auto dependencies = ports_.store.parsed(wire::dependencies_key(id, part), entry->revision,
-                                            [entry] { return wire::parse_dependencies_part(entry->data); });
+    auto dependencies = ports_.store.try_parse(wire::dependencies_key(id, part), entry->revision, [entry] {
+      return wire::parse_dependencies_part(entry->data);
+    });
     incomplete = incomplete || !dependencies;
     if (!dependencies) continue;
     for (auto& dependency : *dependencies) job.spec.depends_on.push_back(std::move(dependency));
@@ -91,7 +92,7 @@
   ++event_counts_["jobs released"];
   update_queue_membership(job);
   schedule_placement();
-  plan_soon();
+  schedule_planning();
 }
 
 // Invariant 14: a dependency of the job is cancelled. No task of the job has ever started; its record is
@@ -113,7 +114,7 @@
   for (std::size_t writes_left = writes_.batch_limit() / 2; writes_left > 0 && !cancelled_dependents_.empty();
        --writes_left) {
     if (writes_.size() >= writes_.batch_limit() ||
-        ports_.store.writes_to_spare() < static_cast<double>(writes_left))
+        ports_.store.background_write_budget() < static_cast<double>(writes_left))
       return;
     const auto job = jobs_.find(cancelled_dependents_.front());
     cancelled_dependents_.pop_front();
@@ -139,8 +140,8 @@
             log_->warn("job {}: other jobs depend on it, but it has no record", id.value);
             return dependencies_.update(id, model::missing_dependency());
           }
-          const auto record = ports_.store.parsed(wire::job_key(id), entry->revision,
-                                                  [&entry] { return wire::parse_job_record(entry->data); });
+          const auto record = ports_.store.try_parse(
+              wire::job_key(id), entry->revision, [&entry] { return wire::parse_job_record(entry->data); });
           const auto state =
               record ? record->state
                      : wire::parse_partial_job_record(entry->data).state.value_or(wire::JobState::accepted);
--- a/src/leader/gangs.cpp
+++ b/src/leader/gangs.cpp
@@ -27,7 +27,7 @@
   for (const auto& type : machine_types_)
     if (planner::allows(job.spec.machine_types, type.name) && type.image_pull_gb_per_s > 0)
       max_image_pull_s = std::max(max_image_pull_s, job.spec.image_size_gb / type.image_pull_gb_per_s);
-  gangs_.follow(job.spec, span, max_image_pull_s);
+  gangs_.add_job(job.spec, span, max_image_pull_s);
   if (const auto unusable_tasks = gangs_.tracker().unusable_tasks(job.spec.id); unusable_tasks > 0)
     log_->warn("job {}: {} of its {} tasks do not fill a replica of {} machines and stay queued",
                job.spec.id.value, unusable_tasks, job.spec.task_count, span);
@@ -42,7 +42,7 @@
     if (!job->is_service()) continue;
     const auto new_span = std::max(1U, settings_.replica_span(job->spec.team, job->spec.job_class));
     if (new_span == gangs_.tracker().span(id)) continue;
-    gangs_.leave(id);
+    gangs_.remove_job(id);
     track_gang(*job);
     job->reason.clear();
     update_queue_membership(*job);
@@ -50,12 +50,12 @@
       const auto* machine = fleet_.peek(machine_id);
       const auto assignment = machine->assignments.find({id, index});
       if (assignment == machine->assignments.end()) continue;
-      gangs_.tracker().found(assignment->first, {machine_id, machine->zone}, now);
-      if (assignment->second.stopping) gangs_.tracker().failing(assignment->first, now);
+      gangs_.tracker().on_task_found(assignment->first, {machine_id, machine->zone}, now);
+      if (assignment->second.stopping) gangs_.tracker().on_task_failing(assignment->first, now);
       if (assignment->second.state == model::AssignmentState::running)
-        gangs_.tracker().running(assignment->first, now);
+        gangs_.tracker().on_task_running(assignment->first, now);
       if (machine->draining)
-        gangs_.tracker().must_leave(assignment->first, machine->preemption_at.has_value(), now);
+        gangs_.tracker().request_move(assignment->first, machine->preemption_at.has_value(), now);
     }
   }
 }
@@ -65,22 +65,22 @@
 }
 
 void Leader::apply_gang_actions() {
-  if (!gangs_.any()) return;
-  gangs_.tracker().pass(loop().now(), [this](const wire::JobId& id) {
+  if (!gangs_.has_work()) return;
+  gangs_.tracker().advance(loop().now(), [this](const wire::JobId& id) {
     const auto job = live_jobs_.find(id);
     return job != live_jobs_.end() && !may_run_on_unconfirmed_machine(*job->second);
   });
   CommandsByMachine commands;
-  for (const auto& action : gangs_.act(fleet_)) {
+  for (const auto& action : gangs_.apply_reservations(fleet_)) {
     auto* machine = fleet_.find(action.machine_id);
     if (machine == nullptr) continue;
-    const auto assignment = machine->assignments.find({action.replica.first, action.task});
+    const auto assignment = machine->assignments.find({action.gang_id.first, action.task_index});
     if (assignment == machine->assignments.end()) continue;
     commands[action.machine_id].push_back(mark_stopping(assignment->second, 0));
     ++event_counts_["gang tasks stopped"];
   }
   for (auto& [machine_id, machine_commands] : commands)
-    send_command(*fleet_.find(machine_id), std::move(machine_commands));
+    send_commands(*fleet_.find(machine_id), std::move(machine_commands));
 }
 
 gang::GangConstraints Leader::gang_constraints(const Job& job) const {
@@ -111,13 +111,13 @@
   std::size_t unplaced_gangs = 0;
   if (placeable_tasks(job) == 0)
     job.reason = "the last tasks make no whole replica of " + std::to_string(span) + " machines";
-  for (const auto& request : gangs_.tracker().wants(job.spec.id, kMaxGangsPerPass, now)) {
+  for (const auto& request : gangs_.tracker().placement_requests(job.spec.id, kMaxGangsPerPass, now)) {
     if (unplaced_gangs >= kMaxUnplacedGangs) break;
     if (!quota_admits(job, static_cast<std::uint32_t>(request.tasks.size()))) {
       job.reason = "the team's limit is reached";
       break;
     }
-    const auto start = gangs_.place(fleet_, request, constraints, now);
+    const auto start = gangs_.place_gang(fleet_, request, constraints, now);
     apply_gang_actions();
     if (!start) {
       // A partly placed gang is bound to one zone: if it finds no machines there, that says nothing about the
@@ -140,12 +140,13 @@
 }
 
 void Leader::move_gangs() {
-  if (!gangs_.any()) return;
+  if (!gangs_.has_work()) return;
   std::size_t moves_left = kMaxMovesPerPass;
-  for (const auto& move : gangs_.tracker().moves(loop().now())) {
+  for (const auto& move : gangs_.tracker().allowed_moves(loop().now())) {
     if (moves_left-- == 0) break;
     const auto job = live_jobs_.find(move.id.first);
-    if (job == live_jobs_.end() || !gangs_.move(fleet_, move, gang_constraints(*job->second), loop().now()))
+    if (job == live_jobs_.end() ||
+        !gangs_.begin_move(fleet_, move, gang_constraints(*job->second), loop().now()))
       continue;
     ++event_counts_["gangs moved"];
   }
@@ -154,7 +155,7 @@
 
 // Rents machines in one zone for a waiting gang, unless machines that it could use are already booting.
 void Leader::rent_for_gangs(const std::vector<planner::Offer>& offers) {
-  if (!gangs_.any()) return;
+  if (!gangs_.has_work()) return;
   if (rental_manager_.has_pending_rental()) return;
   for (const auto& [id, shortage] : gangs_.shortages(loop().now())) {
     const auto found = live_jobs_.find(id);
@@ -195,18 +196,18 @@
 }
 
 void Leader::on_gang_machine_draining(const Machine& machine) {
-  if (!gangs_.any()) return;
+  if (!gangs_.has_work()) return;
   for (const auto& [task_id, assignment] : machine.assignments)
     if (!assignment.orphaned)
-      gangs_.tracker().must_leave(task_id, machine.preemption_at.has_value(), loop().now());
+      gangs_.tracker().request_move(task_id, machine.preemption_at.has_value(), loop().now());
   schedule_placement();
 }
 
 // The tasks on the machine are treated as lost: the remaining tasks of their gangs cannot run without them.
 void Leader::on_gang_machine_failed(const Machine& machine) {
-  if (!gangs_.any()) return;
+  if (!gangs_.has_work()) return;
   for (const auto& [task_id, assignment] : machine.assignments)
-    if (!assignment.orphaned) gangs_.tracker().failing(task_id, loop().now());
+    if (!assignment.orphaned) gangs_.tracker().on_task_failing(task_id, loop().now());
   schedule_placement();
 }
 
--- a/src/leader/heartbeats.cpp
+++ b/src/leader/heartbeats.cpp
@@ -389,7 +389,7 @@
       assignment.state = AssignmentState::running;
       break;
     case TaskState::checkpointing:
-      if (!assignment.orphaned) gangs_.tracker().failing(task_status.task, loop().now());
+      if (!assignment.orphaned) gangs_.tracker().on_task_failing(task_status.task, loop().now());
       assignment.state = AssignmentState::checkpointing;
       assignment.stopping = true;
       break;
@@ -401,7 +401,7 @@
     if (runs != was_running) {
       job->second.running_count += runs ? 1 : -1;
       job->second.progress_dirty = true;
-      if (runs) gangs_.tracker().running(task_status.task, loop().now());
+      if (runs) gangs_.tracker().on_task_running(task_status.task, loop().now());
     }
   }
 }
@@ -460,10 +460,10 @@
   if (machine.confirmed && machine.seen_token.value >= first_term_) record_inherited_task_seen(assignment);
   const bool orphaned = assignment.orphaned;
   add_assignment(machine, std::move(assignment));
-  if (!orphaned && gangs_.follows(task_status.task.job)) {
-    gangs_.tracker().found(task_status.task, {machine.id, machine.zone}, loop().now());
+  if (!orphaned && gangs_.has_job(task_status.task.job)) {
+    gangs_.tracker().on_task_found(task_status.task, {machine.id, machine.zone}, loop().now());
     if (machine.draining)
-      gangs_.tracker().must_leave(task_status.task, machine.preemption_at.has_value(), loop().now());
+      gangs_.tracker().request_move(task_status.task, machine.preemption_at.has_value(), loop().now());
   }
   apply_task_status(machine, task_status);
 }
@@ -484,7 +484,7 @@
   on_assignment_removed(machine, assignment);
   fleet_.refresh(machine);
   const auto found_job = jobs_.find(task_id.job);
-  if (!assignment.orphaned) gangs_.tracker().gone(task_id, loop().now());
+  if (!assignment.orphaned) gangs_.tracker().on_task_ended(task_id, loop().now());
   if (found_job != jobs_.end() && !assignment.orphaned) {
     auto& job = found_job->second;
     job.task_machines.erase(task_id.index);
@@ -549,7 +549,7 @@
     job.failed_on.insert(machine.id);
     // A job with a complete replica is not faulty: tasks of services never finish, so finished tasks prove
     // nothing for them.
-    const bool has_complete_replica = gangs_.tracker().whole(job.spec.id) > 0;
+    const bool has_complete_replica = gangs_.tracker().running_gangs(job.spec.id) > 0;
     if (!job.faulty) {
       ++machine.errors_in_row;
       machine.error_jobs.insert(job.spec.id);
@@ -596,8 +596,9 @@
   update_queue_membership(job);
   ++event_counts_["tasks done"];
   if (job.finished_count < job.spec.task_count)
-    return completion_bitmaps_.store(completion_bitmaps_.record_of(job, index / wire::kCompletionChunkTasks),
-                                     FlushDelay::exits, std::move(on_stored));
+    return completion_bitmaps_.store(
+        completion_bitmaps_.ensure_record(job, index / wire::kCompletionChunkTasks), FlushDelay::exits,
+        std::move(on_stored));
   log_->debug("job {}: all {} tasks done, {:.1f} s after acceptance (class {}, estimated {:.1f} s each)",
               job.spec.id.value, job.spec.task_count, loop().wall() - job.accepted_at, job.spec.job_class,
               job.spec.estimated_runtime_s);
@@ -629,7 +630,7 @@
     if (assignment != machine->assignments.end())
       commands[machine_id].push_back(mark_stopping(assignment->second, 0));
   }
-  for (auto& [machine_id, list] : commands) send_command(*fleet_.find(machine_id), std::move(list));
+  for (auto& [machine_id, list] : commands) send_commands(*fleet_.find(machine_id), std::move(list));
 }
 
 std::vector<Command> Leader::commands_for(Machine& machine, std::uint64_t answered_sequence) {
@@ -658,7 +659,7 @@
   return forgets;
 }
 
-void Leader::send_command(Machine& machine, std::vector<Command> commands, Continuation on_done) {
+void Leader::send_commands(Machine& machine, std::vector<Command> commands, Continuation on_done) {
   if (!is_active_leader() || machine.address.empty()) {
     if (on_done) loop().post(guard(std::move(on_done)));
     return;
@@ -729,7 +730,7 @@
     // The agent epoch differed from the assumed one: shows the fencing token again, for the actual agent
     // epoch.
     if (response.status == 409 && !machine.confirmed && machine.agent_epoch != assumed_epoch)
-      send_command(machine, {});
+      send_commands(machine, {});
   } catch (const std::exception& error) {
     log_->warn("machine {}: response to a direct request cannot be parsed: {}", machine_id.value,
                error.what());
@@ -748,7 +749,7 @@
   for (auto& [task_id, assignment] : machine.assignments) {
     const auto job = jobs_.find(task_id.job);
     // A gang moves as a whole, after all its new machines are found (drain).
-    if (job == jobs_.end() || assignment.stopping || gangs_.follows(task_id.job)) continue;
+    if (job == jobs_.end() || assignment.stopping || gangs_.has_job(task_id.job)) continue;
     const auto& spec = job->second.spec;
     const double remaining_s = estimated_runtime_s(job->second) -
                                (assignment.running_since > 0 ? now - assignment.running_since : 0);
@@ -763,7 +764,7 @@
             ? spec.checkpoint_duration_s
             : 0;
   }
-  plan_soon();
+  schedule_planning();
 }
 
 }  // namespace bankhill::leader
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -49,7 +49,7 @@
 state::WriteCoalescer::Service write_service(state::Store& store) {
   return {[&store](state::Commit message) { store.tell(std::move(message)); },
           [&store](state::ReadBarrier message) { store.tell(std::move(message)); },
-          [&store] { return store.writes_to_spare(); }};
+          [&store] { return store.background_write_budget(); }};
 }
 }  // namespace
 
@@ -118,8 +118,8 @@
   for (const auto& change : *message.changes) {
     if (has_prefix(change.key, wire::kJobKeyPrefix) || !cache_.apply(change)) continue;
     if (is_leader_ && change.data) delete_recreated_record(change.key);
-    if (auto machine_types = ports_.store.parsed(change.key, change.revision,
-                                                 [&] { return catalogue_.learn(change.key, change.data); });
+    if (auto machine_types = ports_.store.try_parse(
+            change.key, change.revision, [&] { return catalogue_.learn(change.key, change.data); });
         machine_types && *machine_types)
       machine_types_ = std::move(**machine_types);
   }
@@ -136,10 +136,10 @@
   std::optional<wire::LeaderRecord> record;
   std::optional<std::uint64_t> current_term;
   if (leader != nullptr && term != nullptr && lease_id_ != 0) {
-    record = ports_.store.parsed(wire::kLeaderKey, leader->revision,
-                                 [leader] { return wire::parse_leader_record(leader->data); });
-    current_term = ports_.store.parsed(wire::kTermKey, term->revision,
-                                       [term] { return wire::count_field(term->data, "n"); });
+    record = ports_.store.try_parse(wire::kLeaderKey, leader->revision,
+                                    [leader] { return wire::parse_leader_record(leader->data); });
+    current_term = ports_.store.try_parse(wire::kTermKey, term->revision,
+                                          [term] { return wire::count_field(term->data, "n"); });
   }
   if (record && current_term && record->incarnation == settings_.incarnation &&
       record->lease_id == lease_id_) {
@@ -195,7 +195,7 @@
       "leader: leadership term began, fencing token {}, {} live jobs, {} recorded machines, {} rentals",
       term_, live_jobs_.size(), fleet_.size(), rental_manager_.rental_count());
   probe_unconfirmed_machines();
-  plan_soon();
+  schedule_planning();
 }
 
 void Leader::end_term() {
@@ -234,7 +234,7 @@
   for (const auto& [key, entry] : cache_.entries()) {
     if (has_prefix(key, wire::kMachineKeyPrefix)) {
       const auto name = key.substr(wire::kMachineKeyPrefix.size());
-      const auto parsed = ports_.store.parsed(key, entry.revision, [&name, &entry = entry] {
+      const auto parsed = ports_.store.try_parse(key, entry.revision, [&name, &entry = entry] {
         return wire::parse_machine_group(name, entry.data);
       });
       if (!parsed) {
@@ -273,12 +273,12 @@
       }
       if (has_duplicates) machine_groups_.rewrite(name);
     } else if (has_prefix(key, wire::kRentalKeyPrefix)) {
-      auto record = ports_.store.parsed(key, entry.revision,
-                                        [&entry = entry] { return wire::parse_rental_record(entry.data); });
+      auto record = ports_.store.try_parse(
+          key, entry.revision, [&entry = entry] { return wire::parse_rental_record(entry.data); });
       if (record) rental_manager_.adopt(key.substr(wire::kRentalKeyPrefix.size()), std::move(*record));
     } else if (has_prefix(key, wire::kCompletionKeyPrefix)) {
       // Tasks whose completion record cannot be read are run once more.
-      ports_.store.parsed(key, entry.revision, [this, &key = key, &entry = entry] {
+      ports_.store.try_parse(key, entry.revision, [this, &key = key, &entry = entry] {
         return adopt_completion_record(key, entry.data);
       });
     }
@@ -324,7 +324,7 @@
     // would end the job.
     if (job.finished_count == job.spec.task_count) write_job_done(job, {});
     if (is_v01_format) {
-      target_records.insert(completion_bitmaps_.record_of(job, id.chunk));
+      target_records.insert(completion_bitmaps_.ensure_record(job, id.chunk));
       continue;
     }
     // Each chunk belongs to one record. If two contain it because it was being moved
@@ -359,7 +359,7 @@
     auto* machine = fleet_.find(machine_id);
     if (machine == nullptr || machine->confirmed || machine->terminating) continue;
     ++probes_in_flight_;
-    send_command(*machine, {}, [this] {
+    send_commands(*machine, {}, [this] {
       --probes_in_flight_;
       probe_unconfirmed_machines();
     });
@@ -371,8 +371,8 @@
   if (!change.data) return;
   const auto found = jobs_.find(id);
   if (found != jobs_.end() && change.revision <= found->second.revision) return;
-  auto parsed = ports_.store.parsed(change.key, change.revision,
-                                    [&change] { return wire::parse_job_record(*change.data); });
+  auto parsed = ports_.store.try_parse(change.key, change.revision,
+                                       [&change] { return wire::parse_job_record(*change.data); });
   if (!parsed) return apply_unreadable_job_record(id, change);
   auto& record = *parsed;
   auto& job = jobs_[id];
@@ -397,7 +397,7 @@
     if (is_leader_ && job.is_live()) {
       init_job_for_term(job);
       schedule_placement();
-      plan_soon();
+      schedule_planning();
     }
   }
   job.ended_at = record.ended_at;
@@ -434,10 +434,10 @@
   backfill_reservations_.release(job.spec.id);
   preemption_reservations_.release(job.spec.id);
   if (is_leader_) {
-    gangs_.leave(job.spec.id);
+    gangs_.remove_job(job.spec.id);
     stop_all_tasks(job);
     completion_bitmaps_.remove(job);
-    plan_soon();
+    schedule_planning();
   }
   // The progress of the tasks is no longer needed. The specification is kept for tasks that still have to be
   // stopped.
@@ -522,7 +522,7 @@
     write_quota(true);
     update_gang_spans();
     update_deadline_forecast();
-    plan_soon();
+    schedule_planning();
     schedule_placement();
   }
   write_quota(false);
@@ -539,7 +539,7 @@
 ReachabilityProbe::Ports Leader::reachability_ports() {
   return {[this] { return reachability_candidates(); },
           [this](const wire::MachineId& machine_id, std::function<void()> done) {
-            if (auto* machine = fleet_.find(machine_id)) send_command(*machine, {}, std::move(done));
+            if (auto* machine = fleet_.find(machine_id)) send_commands(*machine, {}, std::move(done));
           },
           [this](const wire::MachineId& machine_id) -> std::optional<ReachabilityProbe::MachineState> {
             const auto* machine = fleet_.peek(machine_id);
@@ -603,7 +603,7 @@
              ++entry)
           if (!writes_.contains(entry->first)) writes_.store(entry->first, std::nullopt, FlushDelay::garbage);
         if (first) {
-          plan_soon();
+          schedule_planning();
           schedule_placement();
         }
       })});
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -68,10 +68,10 @@
   std::size_t final_states_kept = 20000;
   std::vector<Team> teams;
   // Target completion times of each job class, from the service-level objectives, in ascending order.
-  std::map<std::string, std::vector<double>> within_s;
+  std::map<std::string, std::vector<double>> completion_targets_s;
   // Target completion times of each job class as multiples of the job's own deadline, from the service-level
   // objectives, in ascending order.
-  std::map<std::string, std::vector<double>> deadline_times;
+  std::map<std::string, std::vector<double>> deadline_multiples;
   // Operator settings.
   double alpha = 0.8;
   double phi = 0.1;
@@ -198,10 +198,10 @@
   void set_capacity(model::Machine& machine) const;
 
   // Stored records: implementation of state::WriteOwner (records.cpp)
-  bool may_write() const override;
+  bool can_write() const override;
   wire::KeyRevision expected_revision(const std::string& key) const override;
   bool is_final(const std::string& key) const override;
-  bool holds(const std::string& key, const std::optional<wire::Json>& data) const override;
+  bool has_value(const std::string& key, const std::optional<wire::Json>& data) const override;
   bool is_urgent(const std::string& key) const override;
   state::WritePreparation prepare(const std::string& key, state::PendingWrite& write) override;
   void apply_committed(const state::Change& change) override;
@@ -246,7 +246,7 @@
   void adjust_allocated_cores(const model::Assignment& assignment, double sign);
   void answer_heartbeat(model::Machine& machine, std::uint64_t sequence, const net::HeartbeatReply& reply);
   std::vector<wire::Command> commands_for(model::Machine& machine, std::uint64_t answered_sequence);
-  void send_command(model::Machine& machine, std::vector<wire::Command> commands, Continuation on_done = {});
+  void send_commands(model::Machine& machine, std::vector<wire::Command> commands, Continuation on_done = {});
   // What the leader knew of a machine when it sent a direct request to it.
   struct ProbeState {
     wire::FencingToken fencing_token;
@@ -270,15 +270,15 @@
   bool may_run_on_unconfirmed_machine(const model::Job& job) const;
   void schedule_pass_at_reorder();
   void place_job(const queue::Candidate& candidate, PlacementPass& pass);
-  void place_tasks(model::Job& job, bool first_only, bool hopeless, PlacementPass& pass);
+  void place_tasks(model::Job& job, bool first_task_only, bool known_unplaceable, PlacementPass& pass);
   MachineSearchResult find_machine(const model::Job& job);
   bool would_use_service_reserve(const model::Job& job) const;
-  void search_machines(const model::Job& job, bool reclaimable, MachineSearchResult& search);
+  void search_machines(const model::Job& job, bool preemptible, MachineSearchResult& search);
   bool is_suitable(const model::Machine& machine, const model::Job& job, const wire::TaskId& task) const;
   bool is_reserved_for_others(const model::Machine& machine, const model::Job& job, wire::Priority priority,
                               double now) const;
   double image_pull_s(const model::Job& job, const Pool& pool) const;
-  void on_no_machine_found(model::Job& job, const MachineSearchResult& search, bool hopeless,
+  void on_no_machine_found(model::Job& job, const MachineSearchResult& search, bool known_unplaceable,
                            PlacementPass& pass);
   void start_task(model::Machine& machine, model::Job& job, std::uint32_t index, PlacementPass& pass);
   void log_start(const model::Machine& machine, const wire::TaskId& task) const;
@@ -291,8 +291,8 @@
   bool has_too_many_services(const model::Machine& machine, const model::Job& job) const;
 
   // Preemption (preemption_execution.cpp)
-  // `instead_of`: for a service, the machine without its image on which it would start otherwise.
-  bool preempt_for(model::Job& job, const model::Machine* instead_of = nullptr);
+  // `machine_without_image`: for a service, the machine without its image on which it would start otherwise.
+  bool preempt_for(model::Job& job, const model::Machine* machine_without_image = nullptr);
   PreemptionState preemption_state(const model::Job& job) const;
   bool could_preempt_on(const model::Machine& machine, const model::Job& job) const;
   double max_grace_period_s(const PreemptionCandidate& chosen) const;
@@ -321,7 +321,7 @@
   void on_gang_machine_failed(const model::Machine& machine);
 
   // Machines (machines.cpp)
-  void plan_soon() { autoscaler_.plan_soon(); }
+  void schedule_planning() { autoscaler_.schedule_planning(); }
   Autoscaler::Settings autoscaler_settings() const;
   Autoscaler::Ports autoscaler_ports();
   void update_deadline_forecast();
--- a/src/leader/machine_monitor.cpp
+++ b/src/leader/machine_monitor.cpp
@@ -56,7 +56,7 @@
   if (boot_time_s > kBootOverdueRatio * usual_s && !std::exchange(machine.boot_overdue, true)) {
     count_boot(false);
     fleet_.refresh(machine);
-    ports_.plan_soon();
+    ports_.schedule_planning();
   }
   if (boot_time_s > kBootFailedRatio * usual_s) ports_.terminate(machine, Fault::never_booted);
 }
@@ -116,7 +116,7 @@
   fleet_.refresh(machine);
   if (machine.uplink == model::UplinkState::up) machine.restart_idle_time(loop_.now());
   ports_.schedule_placement();
-  ports_.plan_soon();
+  ports_.schedule_planning();
 }
 
 double MachineMonitor::since_heartbeat_s(const Machine& machine) const {
@@ -164,7 +164,7 @@
         "until it recovers",
         machine.id.value);
     ports_.count_event("downlinks lost");
-    ports_.plan_soon();
+    ports_.schedule_planning();
   } else {
     if (before == State::lost) {
       log_->info("machine {}: downlink recovered after {:.0f} s", machine.id.value,
--- a/src/leader/machine_monitor.hpp
+++ b/src/leader/machine_monitor.hpp
@@ -49,7 +49,7 @@
     std::function<void(const model::Machine& machine)> on_presumed_reclaim;
     std::function<double(const model::Machine& machine)> usual_boot_s;
     std::function<void(const std::string& event)> count_event;
-    std::function<void()> plan_soon;
+    std::function<void()> schedule_planning;
     std::function<void()> schedule_placement;
   };
   // Time since the last contact with a machine and the thresholds for it, at one moment. The same values are
--- a/src/leader/machines.cpp
+++ b/src/leader/machines.cpp
@@ -19,18 +19,20 @@
 // Updates, once per planning round, whether the work due by each cutoff will be done in time, so that a
 // shortfall is logged and shown in the job status before the cutoff.
 void Leader::update_deadline_forecast() {
-  deadline_forecast_.begin(loop().wall());
+  deadline_forecast_.start_update(loop().wall());
   for (const auto& [id, job] : live_jobs_)
     if (const auto cutoff = queue_.cutoff(*job); cutoff && !job->is_service())
-      deadline_forecast_.add(job->spec.team, *cutoff,
-                             job->unfinished_tasks() * job->spec.request.cores * estimated_runtime_s(*job),
-                             estimated_runtime_s(*job));
-  const auto changed = deadline_forecast_.end([this](const std::string& team) { return supply_for(team); });
+      deadline_forecast_.add_work(
+          job->spec.team, *cutoff,
+          job->unfinished_tasks() * job->spec.request.cores * estimated_runtime_s(*job),
+          estimated_runtime_s(*job));
+  const auto changed =
+      deadline_forecast_.finish_update([this](const std::string& team) { return supply_for(team); });
   if (changed.empty()) return;
   for (const auto& change : changed)
     log_->log(change.state == calendar::DeadlineForecast::State::on_time ? spdlog::level::info
                                                                          : spdlog::level::warn,
-              "cutoff of {} in {:.0f} s: {}", change.owner, change.cutoff - loop().wall(), change.text);
+              "cutoff of {} in {:.0f} s: {}", change.team, change.cutoff - loop().wall(), change.text);
   for (auto& [id, job] : live_jobs_)
     if (queue_.cutoff(*job)) job->progress_dirty = true;
 }
@@ -68,7 +70,7 @@
   machine.draining = false;
   machine.drain_reason.clear();
   fleet_.refresh(machine);
-  for (const auto& [task_id, assignment] : machine.assignments) gangs_.tracker().may_stay(task_id);
+  for (const auto& [task_id, assignment] : machine.assignments) gangs_.tracker().cancel_move_request(task_id);
   schedule_placement();
   return true;
 }
@@ -116,7 +118,7 @@
 
 MachineMonitor::Ports Leader::monitor_ports() {
   return {
-      .send_probe = [this](Machine& machine) { send_command(machine, {}); },
+      .send_probe = [this](Machine& machine) { send_commands(machine, {}); },
       .terminate =
           [this](Machine& machine, MachineMonitor::Fault fault) {
             terminate(machine, MachineMonitor::termination_reason(fault));
@@ -128,7 +130,7 @@
           [this](const Machine& machine) { autoscaler_.on_machine_reclaimed(machine.machine_type); },
       .usual_boot_s = [this](const Machine& machine) { return usual_boot_s(machine); },
       .count_event = [this](const std::string& event) { ++event_counts_[event]; },
-      .plan_soon = [this] { plan_soon(); },
+      .schedule_planning = [this] { schedule_planning(); },
       .schedule_placement = [this] { schedule_placement(); },
   };
 }
@@ -155,9 +157,11 @@
   const wire::FencingToken token{term_};
   for (const auto& [task, assignment] : machine.assignments)
     has_unknown_start_outcome_ =
-        has_unknown_start_outcome_ || (assignment.stopping && assignment.in_flight_starts.in_doubt(token));
+        has_unknown_start_outcome_ ||
+        (assignment.stopping && assignment.in_flight_starts.has_unknown_outcome(token));
   for (const auto& [task, exited] : machine.exited_attempts)
-    has_unknown_start_outcome_ = has_unknown_start_outcome_ || exited.in_flight_starts.in_doubt(token);
+    has_unknown_start_outcome_ =
+        has_unknown_start_outcome_ || exited.in_flight_starts.has_unknown_outcome(token);
 }
 
 RentalManager::Settings Leader::rental_settings() const {
@@ -182,7 +186,7 @@
   };
   ports.on_terminating = [this](const Machine& machine) { on_gang_machine_failed(machine); };
   ports.on_terminated = [this](const wire::MachineId& machine_id) { remove_machine(machine_id); };
-  ports.plan_soon = [this] { plan_soon(); };
+  ports.schedule_planning = [this] { schedule_planning(); };
   ports.count_event = [this](const std::string& event) { ++event_counts_[event]; };
   return ports;
 }
@@ -198,7 +202,7 @@
   ports.may_start = [this](const model::Job& job) { return may_start(job); };
   ports.quota_allows = [this](const model::Job& job) { return quota_admits(job); };
   ports.placeable_tasks = [this](const model::Job& job) { return placeable_tasks(job); };
-  ports.is_gang = [this](const wire::JobId& id) { return gangs_.follows(id); };
+  ports.is_gang = [this](const wire::JobId& id) { return gangs_.has_job(id); };
   ports.core_limit = [this](const std::string& name) -> std::optional<double> {
     const auto* team = quota_.find_team(name);
     if (team == nullptr) return std::nullopt;
@@ -227,7 +231,7 @@
   machine_groups_.remove(*machine);
   fleet_.erase(machine_id);
   schedule_placement();
-  plan_soon();
+  schedule_planning();
 }
 
 }  // namespace bankhill::leader
--- a/src/leader/placement.cpp
+++ b/src/leader/placement.cpp
@@ -58,7 +58,7 @@
 queue::JobQueue::Settings Leader::queue_settings() const {
   queue::JobQueue::Settings result{settings_.control_interval_s,
                                    settings_.round_s,
-                                   {settings_.within_s, settings_.deadline_times},
+                                   {settings_.completion_targets_s, settings_.deadline_multiples},
                                    {},
                                    settings_.begin_within_s,
                                    settings_.largest_share};
@@ -271,7 +271,7 @@
   answer_pending_heartbeats();
   if (pass.starts_left > 0) preemption_reservations_.end_pass();
   log_ended_preemptions();
-  if (pass.has_unplaced_tasks) plan_soon();
+  if (pass.has_unplaced_tasks) schedule_planning();
   // The number of starts per pass is limited, so that leases, heartbeats and probes are not delayed behind
   // thousands of tasks. The next pass continues.
   if (pass.starts_left <= 0) schedule_placement();
@@ -293,10 +293,10 @@
   const bool known_unplaceable = !has_reservation && pass.unplaceable.covers(candidate);
   // Thousands of jobs may be unplaceable at a time. Only the first of them search for preemption victims; the
   // others cost one comparison each.
-  if (known_unplaceable && pass.victim_searches_left == 0 && !gangs_.follows(candidate.id)) return;
+  if (known_unplaceable && pass.victim_searches_left == 0 && !gangs_.has_job(candidate.id)) return;
   auto* const job = queue_.find(candidate.id);
   if (job == nullptr || !may_start(*job)) return;
-  if (gangs_.follows(job->spec.id)) {
+  if (gangs_.has_job(job->spec.id)) {
     pass.starts_left -= place_gangs(*job, pass.start_commands);
     pass.has_unplaced_tasks = pass.has_unplaced_tasks || placeable_tasks(*job) > 0;
     return;
@@ -415,7 +415,7 @@
 void Leader::send_start_commands(PlacementPass& pass) {
   for (auto& [machine_id, commands] : pass.start_commands) {
     if (pass.machines_awaiting_response.contains(machine_id)) continue;
-    if (auto* machine = fleet_.find(machine_id)) send_command(*machine, std::move(commands));
+    if (auto* machine = fleet_.find(machine_id)) send_commands(*machine, std::move(commands));
   }
 }
 
--- a/src/leader/preemption_execution.cpp
+++ b/src/leader/preemption_execution.cpp
@@ -185,7 +185,7 @@
     ++event_counts_["tasks preempted"];
     stop_commands.push_back(mark_stopping(assignment, grace_period_s(victim.job)));
   }
-  if (!stop_commands.empty()) send_command(machine, std::move(stop_commands));
+  if (!stop_commands.empty()) send_commands(machine, std::move(stop_commands));
   apply_gang_actions();
 }
 
--- a/src/leader/records.cpp
+++ b/src/leader/records.cpp
@@ -40,7 +40,7 @@
   return state::WritePreparation::ready;
 }
 
-bool Leader::may_write() const { return is_active_leader(); }
+bool Leader::can_write() const { return is_active_leader(); }
 
 const Job* Leader::find_job_by_key(const std::string& key) const {
   const auto found = jobs_.find(wire::JobId{key.substr(wire::kJobKeyPrefix.size())});
@@ -61,7 +61,7 @@
 }
 
 // The content of a job's record is not kept; its state alone tells whether it was written (is_final).
-bool Leader::holds(const std::string& key, const std::optional<Json>& data) const {
+bool Leader::has_value(const std::string& key, const std::optional<Json>& data) const {
   if (key.starts_with(wire::kJobKeyPrefix)) return false;
   const auto* entry = cache_.find(key);
   return data ? entry != nullptr && entry->data == *data : entry == nullptr;
--- a/src/leader/rental_manager.cpp
+++ b/src/leader/rental_manager.cpp
@@ -187,7 +187,7 @@
     capacity_backoff_.record_stockout(pool, loop_.now(), settings_.round_s);
     log_->info("rental {}: {} of {} machines granted, the cloud has no more capacity", name,
                result.machines.size(), rental.record.count);
-    ports_.plan_soon();
+    ports_.schedule_planning();
   } else {
     capacity_backoff_.reset(pool);
   }
--- a/src/leader/rental_manager.hpp
+++ b/src/leader/rental_manager.hpp
@@ -81,7 +81,7 @@
     // Called when the cloud has confirmed the termination.
     std::function<void(const wire::MachineId&)> on_terminated;
 
-    std::function<void()> plan_soon;
+    std::function<void()> schedule_planning;
     // Counts an event for the summary in the log.
     std::function<void(const std::string& event)> count_event;
   };
--- a/src/model/agent_lease.hpp
+++ b/src/model/agent_lease.hpp
@@ -58,7 +58,9 @@
     return response_sequence_ == 0 || (sequence && is_reflected_in(*sequence));
   }
   // Whether a direct start with this fencing token has an unknown outcome.
-  bool in_doubt(wire::FencingToken fencing_token) const { return unknown_outcome_token_ == fencing_token; }
+  bool has_unknown_outcome(wire::FencingToken fencing_token) const {
+    return unknown_outcome_token_ == fencing_token;
+  }
 
  private:
   int unanswered_ = 0;                        // number of direct start requests without a response so far
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -50,10 +50,10 @@
   Json object{{"name", rules.name}, {"zone", rules.zone}, {"classes", rules.classes}};
   if (rules.margin_s > 0) object["margin_s"] = rules.margin_s;
   for (const auto& weekly : rules.weekly)
-    object["weekly"].push_back({{"days", weekly.days}, {"at_s", weekly.at_s}});
+    object["weekly"].push_back({{"days", weekly.days}, {"at_s", weekly.time_of_day_s}});
   for (const auto& filing : rules.dates) {
-    Json item{{"on", calendar::text_of(filing.on)}};
-    if (filing.at_s) item["at_s"] = *filing.at_s;
+    Json item{{"on", calendar::text_of(filing.date)}};
+    if (filing.time_of_day_s) item["at_s"] = *filing.time_of_day_s;
     object["dates"].push_back(std::move(item));
   }
   for (const auto& day : rules.days_off) object["days_off"].push_back(calendar::text_of(day));
@@ -72,12 +72,12 @@
       if (!day.is_number_unsigned() || day.get<unsigned>() > 6) throw ProtocolError("a weekday is none");
       weekly.days.insert(day.get<unsigned>());
     }
-    weekly.at_s = time_field(item, "at_s");
+    weekly.time_of_day_s = time_field(item, "at_s");
     rules.weekly.push_back(std::move(weekly));
   }
   for (const auto& item : list_field(object, "dates")) {
     calendar::Filing filing{date_of(item.value("on", Json())), std::nullopt};
-    if (!wire::absent(item, "at_s")) filing.at_s = time_field(item, "at_s");
+    if (!wire::absent(item, "at_s")) filing.time_of_day_s = time_field(item, "at_s");
     rules.dates.push_back(filing);
   }
   for (const auto& item : list_field(object, "days_off")) rules.days_off.insert(date_of(item));
@@ -87,7 +87,7 @@
 Json to_json(const TierRule& rule) {
   Json object{{"tier", rule.tier}};
   if (!rule.classes.empty()) object["classes"] = rule.classes;
-  if (rule.rank) object["rank"] = static_cast<int>(*rule.rank);
+  if (rule.priority) object["rank"] = static_cast<int>(*rule.priority);
   if (rule.guest) object["guest"] = *rule.guest;
   return object;
 }
@@ -103,7 +103,7 @@
   if (!wire::absent(object, "rank")) {
     const auto rank = wire::count_field(object, "rank");
     if (rank >= kRanks) throw FieldError("rank", "is none");
-    rule.rank = static_cast<wire::Priority>(rank);
+    rule.priority = static_cast<wire::Priority>(rank);
   }
   return rule;
 }
@@ -122,7 +122,7 @@
 }  // namespace
 
 bool TierRule::matches(const std::string& job_class, wire::Priority of, bool is_guest) const {
-  return (classes.empty() || classes.contains(job_class)) && (!rank || *rank == of) &&
+  return (classes.empty() || classes.contains(job_class)) && (!priority || *priority == of) &&
          (!guest || *guest == is_guest);
 }
 
@@ -130,7 +130,7 @@
   static const TenantPolicy kUsual;
   Json object = Json::object();
   for (const auto& rules : tenant.calendars) object["calendars"].push_back(to_json(rules));
-  for (const auto& rule : tenant.rules) object["tiers"].push_back(to_json(rule));
+  for (const auto& rule : tenant.tier_rules) object["tiers"].push_back(to_json(rule));
   if (!tenant.refreshes.empty()) object["refreshes"] = tenant.refreshes;
   if (tenant.tier_floor != kUsual.tier_floor) object["tier_floor"] = tenant.tier_floor;
   if (tenant.tier_ages_s != kUsual.tier_ages_s) object["tier_ages_s"] = tenant.tier_ages_s;
@@ -142,7 +142,7 @@
   if (!object.is_object()) throw ProtocolError("a tenant's policy is not an object");
   TenantPolicy tenant;
   for (const auto& item : list_field(object, "calendars")) tenant.calendars.push_back(parse_rules(item));
-  for (const auto& item : list_field(object, "tiers")) tenant.rules.push_back(parse_tier(item));
+  for (const auto& item : list_field(object, "tiers")) tenant.tier_rules.push_back(parse_tier(item));
   tenant.refreshes = names_field(object, "refreshes");
   if (!wire::absent(object, "tier_floor")) tenant.tier_floor = wire::amount_field(object, "tier_floor");
   if (!wire::absent(object, "tier_ages_s")) tenant.tier_ages_s = wire::amount_field(object, "tier_ages_s");
@@ -188,7 +188,7 @@
                  bool guest) const {
   const auto tenant = tenants_.find(team);
   if (tenant == tenants_.end()) return 0;
-  const auto& rules = tenant->second.rules;
+  const auto& rules = tenant->second.tier_rules;
   const auto rule = std::find_if(rules.begin(), rules.end(), [&](const TierRule& item) {
     return item.matches(job_class, priority, guest);
   });
@@ -234,15 +234,15 @@
     if (++shown <= kShown) text += "  " + line + "\n";
   for (const auto& [team, tenant] : tenants_) {
     text += team + ":\n";
-    for (const auto& rule : tenant.rules) {
+    for (const auto& rule : tenant.tier_rules) {
       text += "  tier " + std::to_string(rule.tier) + ": " +
               (rule.classes.empty() ? "all classes" : listed(rule.classes));
-      if (rule.rank) text += std::string(", rank ") + wire::name_of(*rule.rank);
+      if (rule.priority) text += std::string(", rank ") + wire::name_of(*rule.priority);
       if (rule.guest) text += *rule.guest ? ", as a guest" : ", with a guarantee";
       text += "\n";
     }
     if (!tenant.refreshes.empty()) text += "  before guest work: " + listed(tenant.refreshes) + "\n";
-    if (!tenant.rules.empty())
+    if (!tenant.tier_rules.empty())
       text += "  floor of lower tiers " + number(tenant.tier_floor) + ", a tier up each " +
               number(tenant.tier_ages_s) + " s of waiting\n";
     for (const auto& [job_class, span] : tenant.spans)
--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -22,9 +22,9 @@
 
 // A rule that gives some of a tenant's jobs a tier.
 struct TierRule {
-  std::set<std::string> classes;       // empty: any
-  std::optional<wire::Priority> rank;  // none: any
-  std::optional<bool> guest;           // whether the team has no guarantee; none: either
+  std::set<std::string> classes;           // empty: any
+  std::optional<wire::Priority> priority;  // none: any
+  std::optional<bool> guest;               // whether the team has no guarantee; none: either
   int tier = 0;
   bool matches(const std::string& job_class, wire::Priority of, bool is_guest) const;
   bool operator==(const TierRule&) const = default;
@@ -33,7 +33,7 @@
 // All that operators set for one tenant.
 struct TenantPolicy {
   std::vector<calendar::Rules> calendars;      // of one class at most one
-  std::vector<TierRule> rules;                 // the first that matches decides; none: tier 0
+  std::vector<TierRule> tier_rules;            // the first that matches decides; none: tier 0
   std::set<std::string> refreshes;             // classes that go before guest work
   double tier_floor = 0.1;                     // part of the tenant's starts that lower tiers get in any case
   double tier_ages_s = 240;                    // waiting that raises a job by one tier
@@ -81,8 +81,8 @@
 // What is known of the site when a file is read.
 struct Site {
   std::set<std::string> teams;
-  std::set<std::string> classes;    // empty: not known
-  std::uint64_t most_machines = 0;  // 0: not known
+  std::set<std::string> classes;   // empty: not known
+  std::uint64_t max_machines = 0;  // 0: not known
 };
 
 // A fault in the operators' file; what() names the line.
--- a/src/policy/policy_file.cpp
+++ b/src/policy/policy_file.cpp
@@ -149,7 +149,7 @@
     for (const auto& entry : node) {
       const auto name = queue(entry.first);
       const auto span = count(entry.second, "a span", 2);
-      const auto most = site_.most_machines > 0 ? site_.most_machines : std::uint64_t{wire::kMaxTasks};
+      const auto most = site_.max_machines > 0 ? site_.max_machines : std::uint64_t{wire::kMaxTasks};
       if (span > most)
         fail(entry.second, "a replica over " + std::to_string(span) +
                                " machines fits no fleet here: " + std::to_string(most) + " at most");
@@ -169,8 +169,8 @@
               [&](const Node& item) {
                 const auto name = text(item, "rank");
                 for (const auto priority : kRanks)
-                  if (name == wire::name_of(priority)) rule.rank = priority;
-                if (!rule.rank) fail(item, "unknown rank '" + name + "'");
+                  if (name == wire::name_of(priority)) rule.priority = priority;
+                if (!rule.priority) fail(item, "unknown rank '" + name + "'");
               }},
              {"guest",
               [&](const Node& item) {
@@ -186,16 +186,16 @@
                 given = true;
               }}});
     if (!given) fail(node, "a tier's rule has no tier");
-    for (const auto& before : tenant.rules) {
+    for (const auto& before : tenant.tier_rules) {
       const bool classes =
           before.classes.empty() ||
           (!rule.classes.empty() && std::includes(before.classes.begin(), before.classes.end(),
                                                   rule.classes.begin(), rule.classes.end()));
-      if (classes && (!before.rank || before.rank == rule.rank) &&
+      if (classes && (!before.priority || before.priority == rule.priority) &&
           (!before.guest || before.guest == rule.guest))
         fail(node, "overlaps an earlier rule, which matches all that this one does");
     }
-    tenant.rules.push_back(std::move(rule));
+    tenant.tier_rules.push_back(std::move(rule));
   }
 
   // A filing date and where it stands.
@@ -255,8 +255,8 @@
     const auto zone = calendar::Zone::load(rules.zone);
     if (!zone) fail(node, "unknown time zone '" + rules.zone + "'");
     for (const auto& [filing, item] : dated)
-      if (filing.at_s && zone->skips(working_day(rules, filing.on), *filing.at_s))
-        fail(item, "there is no " + calendar::text_of_time(*filing.at_s) + " in " + rules.zone +
+      if (filing.time_of_day_s && zone->skips(working_day(rules, filing.date), *filing.time_of_day_s))
+        fail(item, "there is no " + calendar::text_of_time(*filing.time_of_day_s) + " in " + rules.zone +
                        " on that day: the clocks are put forward");
   }
 
@@ -287,33 +287,33 @@
                 });
               }},
              {"at", [&](const Node& item) {
-                result.at_s = time(item);
+                result.time_of_day_s = time(item);
                 given = true;
               }}});
     if (result.days.empty()) fail(node, "a weekly cutoff has no days");
     if (!given) fail(node, "a weekly cutoff has no time (at)");
     for (const auto& other : rules.weekly)
       for (const auto day : result.days)
-        if (other.at_s == result.at_s && other.days.contains(day))
-          fail(node,
-               "overlaps an earlier cutoff: " + kWeekdays[day] + " " + calendar::text_of_time(result.at_s));
+        if (other.time_of_day_s == result.time_of_day_s && other.days.contains(day))
+          fail(node, "overlaps an earlier cutoff: " + kWeekdays[day] + " " +
+                         calendar::text_of_time(result.time_of_day_s));
     return result;
   }
 
   static calendar::Filing filing(const Node& node, const calendar::Rules& rules) {
     calendar::Filing result;
     if (node.IsScalar()) {
-      result.on = date(node);
+      result.date = date(node);
     } else {
       std::optional<calendar::Date> on;
       members(node, "a filing date",
               {{"on", [&](const Node& item) { on = date(item); }},
-               {"at", [&](const Node& item) { result.at_s = time(item); }}});
+               {"at", [&](const Node& item) { result.time_of_day_s = time(item); }}});
       if (!on) fail(node, "a filing date has no day (on)");
-      result.on = *on;
+      result.date = *on;
     }
     if (std::find(rules.dates.begin(), rules.dates.end(), result) != rules.dates.end())
-      fail(node, "'" + calendar::text_of(result.on) + "' stands twice");
+      fail(node, "'" + calendar::text_of(result.date) + "' stands twice");
     return result;
   }
 
--- a/src/queue/deadline.cpp
+++ b/src/queue/deadline.cpp
@@ -28,7 +28,8 @@
     return std::numeric_limits<double>::infinity();
   }
   const double waited_s = wall_s - job.eligible_at;
-  if (const auto within = objectives.within_s.find(job.spec.job_class); within != objectives.within_s.end())
+  if (const auto within = objectives.completion_targets_s.find(job.spec.job_class);
+      within != objectives.completion_targets_s.end())
     for (const double time_s : within->second)
       if (time_s - waited_s >= min_time_s) return time_s - waited_s;
   return std::numeric_limits<double>::infinity();
--- a/src/queue/deadline.hpp
+++ b/src/queue/deadline.hpp
@@ -15,7 +15,7 @@
 // Service-level objectives for when jobs should be done, by class of jobs.
 struct Objectives {
   // Times within which jobs of the class should be done once they are eligible, in seconds, rising.
-  std::map<std::string, std::vector<double>> within_s;
+  std::map<std::string, std::vector<double>> completion_targets_s;
   // Multiples of the jobs' own deadlines within which jobs of the class should be done, rising.
   std::map<std::string, std::vector<double>> deadline_multiples;
 };
--- a/src/state/key_fetcher.cpp
+++ b/src/state/key_fetcher.cpp
@@ -21,7 +21,7 @@
     auto pending = std::move(waiting_.front());
     waiting_.pop_front();
     ++under_way_;
-    store_.tell(FetchKey{pending->read.key, guard([this, pending](const KeyAnswer& answer) {
+    store_.tell(FetchKey{pending->read.key, guard([this, pending](const KeyResponse& answer) {
                            --under_way_;
                            if (answer.status == KeyStatus::unknown)
                              refused(pending);
--- a/src/state/state_protocol.cpp
+++ b/src/state/state_protocol.cpp
@@ -120,7 +120,7 @@
 
 Request key_request(const std::string& key) { return {Method::get, "/keys/" + key, ""}; }
 
-KeyAnswer parse_key(const Response& response) {
+KeyResponse parse_key(const Response& response) {
   if (response.status == kNotFound) return {KeyStatus::missing, std::nullopt};
   const Json body = parse_success(response, "data");
   if (body.is_null()) return {KeyStatus::unknown, std::nullopt};
--- a/src/state/state_protocol.hpp
+++ b/src/state/state_protocol.hpp
@@ -50,7 +50,7 @@
   missing,  // no such key
   found,
 };
-struct KeyAnswer {
+struct KeyResponse {
   KeyStatus status = KeyStatus::unknown;
   std::optional<Entry> entry;  // of `found` only
 };
@@ -66,7 +66,7 @@
 std::variant<News, AnswerError> parse_watch(const net::Response& response, wire::StoreRevision known);
 
 net::Request key_request(const std::string& key);
-KeyAnswer parse_key(const net::Response& response);
+KeyResponse parse_key(const net::Response& response);
 
 net::Request commit_request(const Transaction& transaction);
 CommitResult parse_commit(const net::Response& response);
--- a/src/state/store.cpp
+++ b/src/state/store.cpp
@@ -50,9 +50,11 @@
       writes_(limits.writes_per_s * kWritesUsed, limits.writes_per_s * kWritesUsed),
       fetches_(requests(limits, kFetchShare), std::max(1.0, requests(limits, kFetchShare))) {}
 
-bool Store::writes_used_up() { return writes_.level(loop().now()) < -kWritesOwed * limits_.writes_per_s; }
+bool Store::is_write_limit_exhausted() {
+  return writes_.level(loop().now()) < -kWritesOwed * limits_.writes_per_s;
+}
 
-double Store::writes_to_spare() {
+double Store::background_write_budget() {
   return writes_.level(loop().now()) - kUrgentReserve * limits_.writes_per_s;
 }
 
@@ -236,7 +238,7 @@
 
 void Store::on(Commit& message) {
   const auto puts = static_cast<double>(message.transaction.writes.size());
-  if (!message.urgent && writes_to_spare() < puts) return message.done({Outcome::refused, {}});
+  if (!message.urgent && background_write_budget() < puts) return message.done({Outcome::refused, {}});
   // Urgent ones are tried in any case: the service has the last word, and answers at once.
   writes_.spend(loop().now(), puts);
   std::vector<std::string> keys;
@@ -300,7 +302,7 @@
        [this, key](const Response& response) { fetched(key, protocol::parse_key(response)); });
 }
 
-void Store::fetched(const std::string& key, const KeyAnswer& answer) {
+void Store::fetched(const std::string& key, const KeyResponse& answer) {
   const auto waiting = fetching_.extract(key);
   for (const auto& done : waiting.mapped()) done(answer);
 }
--- a/src/state/store.hpp
+++ b/src/state/store.hpp
@@ -33,7 +33,7 @@
   std::size_t controllers = 3;  // that share these limits
 };
 
-using protocol::KeyAnswer;
+using protocol::KeyResponse;
 using protocol::KeyStatus;
 using protocol::LeaseRenewal;
 
@@ -54,7 +54,7 @@
 // Reads one key from the service itself; several requests for one key at a time are one.
 struct FetchKey {
   std::string key;
-  std::function<void(const KeyAnswer&)> done;
+  std::function<void(const KeyResponse&)> done;
 };
 // Opens a lease.
 struct GrantLease {
@@ -84,7 +84,7 @@
   void start();
   // Seconds since news were last had from the service. Leases and transactions that are answered are not
   // enough: without news no question of a user can be.
-  double silence() const { return loop().now() - last_news_; }
+  double update_age_s() const { return loop().now() - last_news_; }
   // Whether all keys were read once.
   bool synced() const { return synced_; }
   // Whether the key was there at the last news. Keys of jobs are never deleted, so it tells a job that left
@@ -93,8 +93,8 @@
   // Takes in a record that a controller stored. One that cannot be read ends nobody: it is set aside under
   // its name, told once in the log, and its reader goes on with the others.
   template <class Parse>
-  std::optional<std::invoke_result_t<Parse>> parsed(const std::string& key, wire::KeyRevision revision,
-                                                    Parse parse) {
+  std::optional<std::invoke_result_t<Parse>> try_parse(const std::string& key, wire::KeyRevision revision,
+                                                       Parse parse) {
     try {
       return parse();
     } catch (const std::exception& error) {
@@ -106,9 +106,9 @@
   const Limits& limits() const { return limits_; }
   // Puts that bookkeeping may commit now. Every controller sees every change, so it knows what the others
   // use: nothing of the limit is set aside for controllers that write nothing.
-  double writes_to_spare();
+  double background_write_budget();
   // Whether a put of users is sure enough to be refused for the limit that asking would only use up requests.
-  bool writes_used_up();
+  bool is_write_limit_exhausted();
 
   void on(Commit& message);
   void on(ReadBarrier& message);
@@ -150,7 +150,7 @@
   void next_fetch();
   void next_fetch_later();
   void fetch(const std::string& key);
-  void fetched(const std::string& key, const KeyAnswer& answer);
+  void fetched(const std::string& key, const KeyResponse& answer);
 
   net::Client& client_;
   runtime::Log log_;
--- a/src/state/write_coalescer.cpp
+++ b/src/state/write_coalescer.cpp
@@ -86,7 +86,7 @@
 }
 
 void WriteCoalescer::flush() {
-  if (committing_ || due_.empty() || !owner_.may_write()) return;
+  if (committing_ || due_.empty() || !owner_.can_write()) return;
   const double now = loop_.now();
   const auto& [first_due_at, first_key] = *due_.begin();
   if (first_due_at > now) return flush_after(first_due_at - now);
@@ -216,7 +216,7 @@
 bool WriteCoalescer::is_settled(const std::string& key, const PendingWrite& write,
                                 bool cache_is_current) const {
   if (owner_.is_final(key)) return true;
-  return cache_is_current && !pending_.contains(key) && owner_.holds(key, write.data);
+  return cache_is_current && !pending_.contains(key) && owner_.has_value(key, write.data);
 }
 
 // A newer value wanted meanwhile takes over the older one's callbacks.
--- a/src/state/write_coalescer.hpp
+++ b/src/state/write_coalescer.hpp
@@ -52,14 +52,14 @@
   virtual ~WriteOwner() = default;
 
   // Whether a transaction may be sent at this moment (invariant 2).
-  virtual bool may_write() const = 0;
+  virtual bool can_write() const = 0;
   // The revision that the key must still have for a write of it to succeed; 0: it must not exist. That of the
   // term key is the fencing token.
   virtual wire::KeyRevision expected_revision(const std::string& key) const = 0;
   // Whether nothing may be written to the key any more, because what it records is final.
   virtual bool is_final(const std::string& key) const = 0;
   // Whether the key holds this value by all that is known now, and that says that it was written.
-  virtual bool holds(const std::string& key, const std::optional<wire::Json>& data) const = 0;
+  virtual bool has_value(const std::string& key, const std::optional<wire::Json>& data) const = 0;
   // Whether tasks or users wait for this key: it may then use more of the write limit.
   virtual bool is_urgent(const std::string& key) const = 0;
   // Called just before a write joins a batch: renders a record that changed since it was stored, and makes
--- a/src/storage/completion_bitmaps.cpp
+++ b/src/storage/completion_bitmaps.cpp
@@ -27,7 +27,7 @@
          !contains(number);
 }
 
-std::uint64_t CompletionBitmaps::record_of(model::Job& job, std::uint32_t chunk) {
+std::uint64_t CompletionBitmaps::ensure_record(model::Job& job, std::uint32_t chunk) {
   const auto known = job.completion_buckets.find(chunk);
   if (known != job.completion_buckets.end()) return known->second;
   const auto number = add({}, {job.spec.id, chunk}, bytes_of(job, chunk));
--- a/src/storage/completion_bitmaps.hpp
+++ b/src/storage/completion_bitmaps.hpp
@@ -33,7 +33,7 @@
   bool is_dropped(const std::string& key) const;
 
   // The record that holds this chunk of the job's tasks, put into one with room if none does yet.
-  std::uint64_t record_of(model::Job& job, std::uint32_t chunk);
+  std::uint64_t ensure_record(model::Job& job, std::uint32_t chunk);
   // Takes in a chunk that an earlier leader stored in this record.
   void adopt(std::uint64_t number, model::Job& job, std::uint32_t chunk);
   // A final job needs no record of its tasks. What is left of it goes when the record is written next.
--- a/tests/agent_lease_test.cpp
+++ b/tests/agent_lease_test.cpp
@@ -35,11 +35,11 @@
   starts.record_direct_result(FencingToken{5}, false);
   EXPECT_FALSE(starts.direct_starts_settled(FencingToken{6})) << "one of two is unanswered";
   starts.record_direct_result(FencingToken{5}, true);
-  EXPECT_TRUE(starts.in_doubt(FencingToken{5}));
+  EXPECT_TRUE(starts.has_unknown_outcome(FencingToken{5}));
   EXPECT_FALSE(starts.direct_starts_settled(FencingToken{5})) << "given up: executed under the same fence";
   EXPECT_TRUE(starts.direct_starts_settled(FencingToken{6}));
   starts.record_direct_result(FencingToken{4}, false);
-  EXPECT_TRUE(starts.in_doubt(FencingToken{5})) << "a doubt is not lowered";
+  EXPECT_TRUE(starts.has_unknown_outcome(FencingToken{5})) << "a doubt is not lowered";
   starts.record_direct_start();
   EXPECT_FALSE(starts.direct_starts_settled(FencingToken{6})) << "an answer too many pays for no later start";
 }
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -47,7 +47,7 @@
     ports.remove_record = [](const std::string&) {};
     ports.on_terminating = [this](const model::Machine& machine) { terminating.push_back(machine.id); };
     ports.on_terminated = [](const wire::MachineId&) {};
-    ports.plan_soon = [] {};
+    ports.schedule_planning = [] {};
     ports.count_event = [](const std::string&) {};
     return ports;
   }
@@ -121,7 +121,7 @@
   }
 
   void plan() {
-    autoscaler.plan_soon();
+    autoscaler.schedule_planning();
     loop.pass(1);
   }
 
@@ -171,11 +171,11 @@
 }
 
 TEST_F(AutoscalerTest, LimitsThePlanningRate) {
-  autoscaler.plan_soon();
+  autoscaler.schedule_planning();
   loop.pass(0);
   EXPECT_EQ(plan_count, 1);
-  autoscaler.plan_soon();
-  autoscaler.plan_soon();
+  autoscaler.schedule_planning();
+  autoscaler.schedule_planning();
   loop.pass(0.8);
   EXPECT_EQ(plan_count, 1);
   loop.pass(0.2);
--- a/tests/calendar_test.cpp
+++ b/tests/calendar_test.cpp
@@ -122,11 +122,11 @@
     for (auto at = Days(day(2026, 12, 1)); at < Days(day(2028 + kYears, 1, 1)); at += std::chrono::days(1))
       for (const auto& weekly : rules.weekly)
         if (!rules.days_off.contains(Date(at)) && weekly.days.contains(std::chrono::weekday(at).c_encoding()))
-          moments.insert(expected(Date(at), weekly.at_s));
+          moments.insert(expected(Date(at), weekly.time_of_day_s));
     for (const auto& filing : rules.dates) {
-      auto at = Days(filing.on);
+      auto at = Days(filing.date);
       while (rules.days_off.contains(Date(at))) at -= std::chrono::days(1);
-      moments.insert(expected(Date(at), filing.at_s.value_or(kDayS)));
+      moments.insert(expected(Date(at), filing.time_of_day_s.value_or(kDayS)));
     }
     const Calendar calendar(rules, zone);
     double now = begin;
@@ -167,9 +167,9 @@
 std::vector<DeadlineForecast::ForecastChange> look(DeadlineForecast& outlook, double now, double core_s,
                                                    DeadlineForecast::Supply supply, double cutoff = 10'000,
                                                    double task_s = 10) {
-  outlook.begin(now);
-  if (core_s > 0) outlook.add("red", cutoff, core_s, task_s);
-  return outlook.end([&](const std::string&) { return supply; });
+  outlook.start_update(now);
+  if (core_s > 0) outlook.add_work("red", cutoff, core_s, task_s);
+  return outlook.finish_update([&](const std::string&) { return supply; });
 }
 
 TEST(Outlook, SaysWhatCanBeHadAndOnlyWhatChanges) {
@@ -200,18 +200,20 @@
 // What is due earlier takes its part first.
 TEST(Outlook, EarlierCutoffsComeOffTheRoomOfLaterOnes) {
   DeadlineForecast outlook;
-  outlook.begin(0);
-  outlook.add("red", 1'000, 9'000, 10);
-  outlook.add("red", 2'000, 9'000, 10);
-  outlook.add("red", 2'500, 9'000, 10);
-  outlook.add("blue", 2'500, 1'000, 10);
-  const auto told = outlook.end([](const std::string&) { return DeadlineForecast::Supply{10, 10, 0}; });
+  outlook.start_update(0);
+  outlook.add_work("red", 1'000, 9'000, 10);
+  outlook.add_work("red", 2'000, 9'000, 10);
+  outlook.add_work("red", 2'500, 9'000, 10);
+  outlook.add_work("blue", 2'500, 1'000, 10);
+  const auto told = outlook.finish_update([](const std::string&) {
+    return DeadlineForecast::Supply{10, 10, 0};
+  });
   ASSERT_EQ(told.size(), 4U);
   for (const auto& item : told)
-    EXPECT_EQ(item.state, item.owner == "blue"   ? DeadlineForecast::State::on_time
+    EXPECT_EQ(item.state, item.team == "blue"    ? DeadlineForecast::State::on_time
                           : item.cutoff == 2'500 ? DeadlineForecast::State::short_of
                                                  : DeadlineForecast::State::tight)
-        << item.owner << item.cutoff;
+        << item.team << item.cutoff;
 }
 
 }  // namespace
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -48,7 +48,7 @@
 
   void add(const wire::JobSpec& spec, std::uint32_t span = kSpan) {
     jobs[spec.id] = spec;
-    placer.follow(spec, span, 0);
+    placer.add_job(spec, span, 0);
   }
   void bind(const wire::TaskId& task_id, const wire::MachineId& at) {
     auto& machine = *fleet.find(at);
@@ -66,17 +66,18 @@
     }
     where.erase(found);
     stopping.erase(task_id);
-    placer.tracker().gone(task_id, now);
+    placer.tracker().on_task_ended(task_id, now);
   }
   void act() {
-    placer.tracker().pass(now, [this](const wire::JobId&) { return settled; });
-    for (const auto& action : placer.act(fleet)) stopping.insert({action.replica.first, action.task});
+    placer.tracker().advance(now, [this](const wire::JobId&) { return settled; });
+    for (const auto& action : placer.apply_reservations(fleet))
+      stopping.insert({action.gang_id.first, action.task_index});
   }
   void place() {
     act();
     for (const auto& [id, spec] : jobs) {
-      for (const auto& want : placer.tracker().wants(id, 4, now)) {
-        const auto start = placer.place(fleet, want, site_of(spec), now);
+      for (const auto& want : placer.tracker().placement_requests(id, 4, now)) {
+        const auto start = placer.place_gang(fleet, want, site_of(spec), now);
         act();
         if (!start) continue;
         std::set<wire::MachineId> machine_ids = want.peers;
@@ -91,14 +92,14 @@
         EXPECT_EQ(zones.size(), 1U);
       }
     }
-    for (const auto& move : placer.tracker().moves(now)) {
-      placer.move(fleet, move, site_of(jobs.at(move.id.first)), now);
+    for (const auto& move : placer.tracker().allowed_moves(now)) {
+      placer.begin_move(fleet, move, site_of(jobs.at(move.id.first)), now);
       act();
     }
   }
   void run_all() {
     for (const auto& [task_id, at] : where)
-      if (!stopping.contains(task_id)) placer.tracker().running(task_id, now);
+      if (!stopping.contains(task_id)) placer.tracker().on_task_running(task_id, now);
   }
   void stop_all() {
     for (const auto& task_id : std::set<wire::TaskId>(stopping)) unbind(task_id);
@@ -177,7 +178,7 @@
   const auto lost = model.where.at(member(1));
   model.fleet.find(lost)->terminating = true;
   model.fleet.refresh(*model.fleet.find(lost));
-  model.placer.tracker().failing(member(1), model.now);
+  model.placer.tracker().on_task_failing(member(1), model.now);
   model.place();
   EXPECT_EQ(model.stopping.size(), 3U) << "its peers go on";
   // Not before the lost one is proven gone: else it could run twice.
@@ -215,8 +216,8 @@
   model.place();
   ASSERT_EQ(model.where.size(), 3U);
   const auto dumb = model.where.at(member(2));
-  model.placer.tracker().running(member(0), model.now);
-  model.placer.tracker().running(member(1), model.now);
+  model.placer.tracker().on_task_running(member(0), model.now);
+  model.placer.tracker().on_task_running(member(1), model.now);
   model.now += kWait + 1;
   model.place();
   EXPECT_EQ(model.stopping.size(), 3U);
@@ -293,7 +294,7 @@
   model.now += 2;
   model.place();
   EXPECT_EQ(model.kept(), 0) << "kept for ever";
-  model.placer.leave({"job-000001"});
+  model.placer.remove_job({"job-000001"});
   model.act();
   EXPECT_EQ(model.kept(), 0);
 }
@@ -303,12 +304,12 @@
   for (int i = 0; i < 6; ++i) add_machine(model.fleet, i, "a", 16);
   model.add(service("job-000001", 6, 16));
   model.calm(2);
-  ASSERT_EQ(model.placer.tracker().whole({"job-000001"}), 2U);
+  ASSERT_EQ(model.placer.tracker().running_gangs({"job-000001"}), 2U);
   const auto drain = [&](std::uint32_t index) {
     auto& machine = *model.fleet.find(model.where.at(member(index)));
     machine.draining = true;
     model.fleet.refresh(machine);
-    model.placer.tracker().must_leave(member(index), false, model.now);
+    model.placer.tracker().request_move(member(index), false, model.now);
   };
   drain(0);
   drain(3);
@@ -318,9 +319,9 @@
   add_machine(model.fleet, 7, "a", 16);
   model.place();
   EXPECT_EQ(model.stopping.size(), 3U) << "one at a time";
-  EXPECT_EQ(model.placer.tracker().whole({"job-000001"}), 1U);
+  EXPECT_EQ(model.placer.tracker().running_gangs({"job-000001"}), 1U);
   model.calm(5);
-  EXPECT_EQ(model.placer.tracker().whole({"job-000001"}), 2U);
+  EXPECT_EQ(model.placer.tracker().running_gangs({"job-000001"}), 2U);
   for (const auto& [id, at] : model.where) EXPECT_FALSE(model.fleet.find(at)->draining) << id.text();
   // Not twice within the time stated.
   const auto before = model.where;
@@ -330,7 +331,7 @@
   EXPECT_EQ(model.where, before);
   model.calm(40);
   EXPECT_NE(model.where, before);
-  EXPECT_EQ(model.placer.tracker().whole({"job-000001"}), 2U);
+  EXPECT_EQ(model.placer.tracker().running_gangs({"job-000001"}), 2U);
 }
 
 TEST(Replicas, TheOnlyOneMovesOnlyWhenItsMachineIsTaken) {
@@ -338,10 +339,10 @@
   for (int i = 0; i < 4; ++i) add_machine(model.fleet, i, "a", 16);
   model.add(service("job-000001", 3, 16));
   model.calm(2);
-  model.placer.tracker().must_leave(member(0), false, model.now);
+  model.placer.tracker().request_move(member(0), false, model.now);
   model.place();
   EXPECT_TRUE(model.stopping.empty());
-  model.placer.tracker().must_leave(member(0), true, model.now);
+  model.placer.tracker().request_move(member(0), true, model.now);
   model.place();
   EXPECT_EQ(model.stopping.size(), 3U);
 }
@@ -356,8 +357,8 @@
     model.add(service("job-000001", 3, 16));
     for (std::uint32_t i = 0; i < 2; ++i) {
       model.bind(member(i), host(static_cast<int>(i)));
-      model.placer.tracker().found(member(i), {host(static_cast<int>(i)), "a"}, model.now);
-      model.placer.tracker().running(member(i), model.now);
+      model.placer.tracker().on_task_found(member(i), {host(static_cast<int>(i)), "a"}, model.now);
+      model.placer.tracker().on_task_running(member(i), model.now);
     }
     // Not judged while a machine that may hold the third is not heard.
     model.settled = false;
@@ -378,11 +379,11 @@
   const int at[] = {0, 0, 1, 2, 3, 4};  // two on one machine; one in another zone
   for (std::uint32_t i = 0; i < 6; ++i) {
     model.bind(member(i), host(at[i]));
-    model.placer.tracker().found(member(i), {host(at[i]), at[i] < 4 ? "a" : "b"}, model.now);
-    model.placer.tracker().running(member(i), model.now);
+    model.placer.tracker().on_task_found(member(i), {host(at[i]), at[i] < 4 ? "a" : "b"}, model.now);
+    model.placer.tracker().on_task_running(member(i), model.now);
   }
   model.calm(100);
-  EXPECT_EQ(model.placer.tracker().whole({"job-000001"}), 2U);
+  EXPECT_EQ(model.placer.tracker().running_gangs({"job-000001"}), 2U);
   for (std::uint32_t replica = 0; replica < 2; ++replica) {
     std::set<wire::MachineId> machine_ids;
     std::set<std::string> zones;
@@ -427,12 +428,12 @@
           model.fleet.refresh(machine);
           dead.emplace(machine.id, model.now + (chance(0.5) ? 1 : 15));
           for (const auto& [id, at] : model.where)
-            if (at == machine.id) model.placer.tracker().failing(id, model.now);
+            if (at == machine.id) model.placer.tracker().on_task_failing(id, model.now);
         } else {
           machine.draining = true;
           model.fleet.refresh(machine);
           for (const auto& [id, at] : model.where)
-            if (at == machine.id) model.placer.tracker().must_leave(id, chance(0.5), model.now);
+            if (at == machine.id) model.placer.tracker().request_move(id, chance(0.5), model.now);
         }
       }
       for (auto entry = dead.begin(); entry != dead.end();) {
@@ -457,7 +458,7 @@
       starts += model.where.size() > before ? 1 : 0;
       for (const auto& [id, at] : model.where)
         if (!dead.contains(at) && !model.stopping.contains(id) && chance(0.5))
-          model.placer.tracker().running(id, model.now);
+          model.placer.tracker().on_task_running(id, model.now);
       for (const auto& id : std::set<wire::TaskId>(model.stopping))
         if (!dead.contains(model.where.at(id)) && chance(0.7)) model.unbind(id);
       ASSERT_FALSE(testing::Test::HasFailure());
@@ -471,8 +472,8 @@
     }
     for (int i = 0; i < 14; ++i) boot();
     model.calm(120);
-    EXPECT_EQ(model.placer.tracker().whole({"job-000001"}), 2U);
-    EXPECT_EQ(model.placer.tracker().whole({"job-000002"}), 2U);
+    EXPECT_EQ(model.placer.tracker().running_gangs({"job-000001"}), 2U);
+    EXPECT_EQ(model.placer.tracker().running_gangs({"job-000002"}), 2U);
     EXPECT_EQ(model.where.size(), 12U);
     EXPECT_EQ(model.kept(), 0);
     EXPECT_FALSE(model.placer.tracker().holder());
@@ -488,9 +489,10 @@
     for (int i = 0; i < (large == 1 ? 5000 : 500); ++i) add_machine(fleet, i, i % 2 == 0 ? "a" : "b", 16);
     GangScheduler placer({kWait, 4, 30, 0.25, 8});
     const auto spec = service("job-000001", 8, 16);
-    placer.follow(spec, 8, 0);
+    placer.add_job(spec, 8, 0);
     const auto before = fleet.steps();
-    ASSERT_TRUE(placer.place(fleet, placer.tracker().wants(spec.id, 1, 0).front(), site_of(spec), 0));
+    ASSERT_TRUE(placer.place_gang(fleet, placer.tracker().placement_requests(spec.id, 1, 0).front(),
+                                  site_of(spec), 0));
     steps[large] = fleet.steps() - before;
   }
   EXPECT_LE(steps[1], steps[0] + 8);
--- a/tests/machine_monitor_test.cpp
+++ b/tests/machine_monitor_test.cpp
@@ -112,7 +112,7 @@
            [this](const Machine& machine) { presumed_reclaims_.push_back(machine.id.value); },
        .usual_boot_s = [](const Machine&) { return kUsualBootS; },
        .count_event = [this](const std::string& event) { ++events_[event]; },
-       .plan_soon = [this] { ++plans_; },
+       .schedule_planning = [this] { ++plans_; },
        .schedule_placement = [this] { ++placements_; }}};
 };
 
--- a/tests/protocol_text_test.cpp
+++ b/tests/protocol_text_test.cpp
@@ -311,7 +311,7 @@
   store.tell(state::RenewLease{91, 1, [&](state::protocol::LeaseRenewal touched) { renewed = touched; }});
   store.tell(state::RevokeLease{92});
   store.tell(state::FetchKey{"bankhill/job/job-1",
-                             [&](const state::protocol::KeyAnswer& read) { entry = read.entry; }});
+                             [&](const state::protocol::KeyResponse& read) { entry = read.entry; }});
   state::Transaction transaction;
   transaction.conditions = {{"bankhill/term", {41}}};
   transaction.writes = {{"bankhill/leader", Json{{"a", 2}}, 91},
--- a/tests/rental_manager_test.cpp
+++ b/tests/rental_manager_test.cpp
@@ -58,7 +58,7 @@
       terminated.push_back(machine_id);
       if (fleet.find(machine_id) != nullptr) fleet.erase(machine_id);
     };
-    result.plan_soon = [this] { ++plan_requests; };
+    result.schedule_planning = [this] { ++plan_requests; };
     result.count_event = [this](const std::string& event) { ++events[event]; };
     return result;
   }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -23,7 +23,7 @@
   const auto settings = parse_settings(good().dump());
   EXPECT_EQ(settings.peers.at(0).addr, "10.0.0.2:8081");
   EXPECT_EQ(settings.teams.at(0).limit.cores, 9.5);
-  EXPECT_EQ(settings.within_s.at("x"), (std::vector<double>{60, 120}));
+  EXPECT_EQ(settings.completion_targets_s.at("x"), (std::vector<double>{60, 120}));
 }
 
 // Of replicas that span machines: in the platform's words where it has any, else by the lease.
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -107,10 +107,10 @@
     return found == jobs.end() || !found->second.is_live() ? nullptr : &found->second;
   }
 
-  bool may_write() const override { return true; }
+  bool can_write() const override { return true; }
   wire::KeyRevision expected_revision(const std::string& key) const override { return stored.revision(key); }
   bool is_final(const std::string&) const override { return false; }
-  bool holds(const std::string&, const std::optional<Json>&) const override { return false; }
+  bool has_value(const std::string&, const std::optional<Json>&) const override { return false; }
   bool is_urgent(const std::string&) const override { return false; }
   state::WritePreparation prepare(const std::string& key, state::PendingWrite& write) override {
     if (const auto group = MachineGroups::name_of(key)) return groups.prepare(*group, write);
@@ -239,9 +239,9 @@
   auto& second = job("job-2", wire::kCompletionChunkTasks + 1);
   first.set_task_progress(0, model::kTaskDone);
   second.set_task_progress(wire::kCompletionChunkTasks, model::kTaskDone);
-  const auto number = bitmaps.record_of(first, 0);
-  EXPECT_EQ(bitmaps.record_of(first, 0), number);
-  EXPECT_EQ(bitmaps.record_of(second, 1), number);
+  const auto number = bitmaps.ensure_record(first, 0);
+  EXPECT_EQ(bitmaps.ensure_record(first, 0), number);
+  EXPECT_EQ(bitmaps.ensure_record(second, 1), number);
   EXPECT_EQ(RecordNumbers::term_of(number), kTerm);
   int calls = 0;
   bitmaps.store(number, state::FlushDelay::exits, count(calls));
@@ -259,8 +259,8 @@
 TEST_F(StorageTest, AFinalJobLeavesItsRecordsAndTheLastOneDeletesThem) {
   auto& first = job("job-1", 10);
   auto& second = job("job-2", 10);
-  const auto number = bitmaps.record_of(first, 0);
-  bitmaps.record_of(second, 0);
+  const auto number = bitmaps.ensure_record(first, 0);
+  bitmaps.ensure_record(second, 0);
   bitmaps.store(number, state::FlushDelay::exits);
   commit_all();
   ASSERT_EQ(stored_chunks(number).size(), 2U);
@@ -280,7 +280,7 @@
   const std::uint64_t earlier = (6U << 20) + 3;
   bitmaps.adopt(earlier, adopted, 0);
   EXPECT_TRUE(bitmaps.contains(earlier));
-  EXPECT_EQ(bitmaps.record_of(adopted, 0), earlier);
+  EXPECT_EQ(bitmaps.ensure_record(adopted, 0), earlier);
   EXPECT_FALSE(bitmaps.is_dropped(wire::completion_key(earlier)));
   EXPECT_FALSE(bitmaps.is_dropped(wire::kCompletionKeyPrefix + "not-a-number"));
 }
@@ -300,11 +300,11 @@
   for (int i = 0; i < 8; ++i) {
     auto& made = job(fmt::format("job-{}", i), 600);
     made.set_task_progress(kDoneTask, model::kTaskDone);
-    number = bitmaps.record_of(made, 0);
+    number = bitmaps.ensure_record(made, 0);
     live.push_back(&made);
   }
   auto& ended = job("job-9", 600);
-  ASSERT_EQ(bitmaps.record_of(ended, 0), number);
+  ASSERT_EQ(bitmaps.ensure_record(ended, 0), number);
   bitmaps.store(number, state::FlushDelay::exits);
   commit_all();
   ASSERT_EQ(stored_chunks(number).size(), 9U);
--- a/tests/write_coalescer_test.cpp
+++ b/tests/write_coalescer_test.cpp
@@ -20,10 +20,10 @@
 // Records of which a test says directly how they stand.
 class FakeOwner final : public WriteOwner {
  public:
-  bool may_write() const override { return leads; }
+  bool can_write() const override { return leads; }
   wire::KeyRevision expected_revision(const std::string& key) const override { return cache.revision(key); }
   bool is_final(const std::string& key) const override { return final_keys.contains(key); }
-  bool holds(const std::string& key, const std::optional<Json>& data) const override {
+  bool has_value(const std::string& key, const std::optional<Json>& data) const override {
     const auto* entry = cache.find(key);
     return data ? entry != nullptr && entry->data == *data : entry == nullptr;
   }
