--- a/tests/agent_lease_test.cpp
+++ b/tests/agent_lease_test.cpp
@@ -36,12 +36,13 @@
   starts.record_direct_result(FencingToken{5}, false);
   EXPECT_FALSE(starts.direct_starts_settled(FencingToken{6})) << "one of two starts is unanswered";
   starts.record_direct_result(FencingToken{5}, true);
-  EXPECT_TRUE(starts.in_doubt(FencingToken{5}));
+  EXPECT_TRUE(starts.has_unknown_outcome(FencingToken{5}));
   EXPECT_FALSE(starts.direct_starts_settled(FencingToken{5}))
       << "a timed-out start can still be executed under the same token";
   EXPECT_TRUE(starts.direct_starts_settled(FencingToken{6}));
   starts.record_direct_result(FencingToken{4}, false);
-  EXPECT_TRUE(starts.in_doubt(FencingToken{5})) << "the token with unknown outcome must not decrease";
+  EXPECT_TRUE(starts.has_unknown_outcome(FencingToken{5}))
+      << "the token with unknown outcome must not decrease";
   starts.record_direct_start();
   EXPECT_FALSE(starts.direct_starts_settled(FencingToken{6}))
       << "a surplus response must not settle a later start";
