--- a/src/calendar/deadline_forecast.cpp
+++ b/src/calendar/deadline_forecast.cpp
@@ -7,29 +7,32 @@
 namespace bankhill::calendar {
 
 namespace {
-constexpr double kTight = 0.8;  // of what can be had: guesses are wrong, machines fail
-constexpr double kHourS = 3600;
+// Fraction of the available core-seconds above which a cutoff counts as tight. The rest allows for wrong
+// estimates and machine failures.
+constexpr double kTightFraction = 0.8;
+constexpr double kSecondsPerHour = 3600;
 
-// Up to the next of 1, 2 and 5: a number that moves with each look would be told with each look.
-double rounded(double value) {
-  const double step = std::pow(10, std::floor(std::log10(value)));
-  for (const double times : {1.0, 2.0, 5.0})
-    if (value <= times * step * (1 + 1e-9)) return times * step;
-  return 10 * step;
+// Rounds up to the next 1, 2 or 5 times a power of ten. A figure that changed with every update would be
+// reported with every update.
+double round_up(double value) {
+  const double power_of_ten = std::pow(10, std::floor(std::log10(value)));
+  for (const double factor : {1.0, 2.0, 5.0})
+    if (value <= factor * power_of_ten * (1 + 1e-9)) return factor * power_of_ten;
+  return 10 * power_of_ten;
 }
 
-std::string text_of(DeadlineForecast::State state, double core_h) {
+std::string describe(DeadlineForecast::State state, double unmet_core_h) {
   char text[64];
   switch (state) {
     case DeadlineForecast::State::on_time:
       return "on time";
     case DeadlineForecast::State::tight:
       return "tight";
-    case DeadlineForecast::State::short_of:
-      std::snprintf(text, sizeof text, "short by %g core-hours", core_h);
+    case DeadlineForecast::State::insufficient:
+      std::snprintf(text, sizeof text, "short by %g core-hours", unmet_core_h);
       return text;
     case DeadlineForecast::State::missed:
-      std::snprintf(text, sizeof text, "missed, %g core-hours are left", core_h);
+      std::snprintf(text, sizeof text, "missed, %g core-hours are left", unmet_core_h);
       return text;
   }
   return "";
@@ -38,58 +41,63 @@
 
 void DeadlineForecast::start_update(double now) {
   now_ = now;
-  left_.clear();
+  remaining_.clear();
 }
 
 void DeadlineForecast::add_work(const std::string& team, double cutoff, double core_s, double task_s) {
-  auto& left = left_[{team, cutoff}];
-  left.core_s += core_s;
-  if (now_ + task_s > cutoff) left.late_core_s += core_s;
+  auto& work = remaining_[{team, cutoff}];
+  work.core_s += core_s;
+  if (now_ + task_s > cutoff) work.late_core_s += core_s;
 }
 
 std::vector<DeadlineForecast::ForecastChange> DeadlineForecast::finish_update(
     const std::function<Supply(const std::string& team)>& supply) {
-  std::map<Key, Known> found;
-  double sum = 0;  // of this tenant's work until this cutoff: what is due earlier goes first
+  std::map<Key, Assessment> assessments;
+  double due_core_s = 0;  // work of this tenant due by this cutoff, including earlier cutoffs, which go first
   const std::string* team = nullptr;
-  Supply cores;
-  for (const auto& [key, left] : left_) {
+  Supply team_supply;
+  for (const auto& [key, work] : remaining_) {
     if (team == nullptr || *team != key.first) {
       team = &key.first;
-      cores = supply(key.first);
-      sum = 0;
+      team_supply = supply(key.first);
+      due_core_s = 0;
     }
-    sum += left.core_s;
-    const double time = key.second - now_;
-    Known known;
-    if (time <= 0) {
-      known = {State::missed, rounded(left.core_s / kHourS), ""};
+    due_core_s += work.core_s;
+    const double time_left_s = key.second - now_;
+    Assessment assessment;
+    if (time_left_s <= 0) {
+      assessment = {State::missed, round_up(work.core_s / kSecondsPerHour), ""};
     } else {
-      const double more = time > cores.more_s ? (cores.most - cores.now) * (time - cores.more_s) : 0;
-      const double room = cores.now * time + more;
-      const double lacking = std::max(left.late_core_s, sum - room);
-      if (lacking > 0)
-        known = {State::short_of, rounded(lacking / kHourS), ""};
-      else if (sum > kTight * room)
-        known.state = State::tight;
+      const double additional_core_s =
+          time_left_s > team_supply.more_cores_in_s
+              ? (team_supply.max_cores - team_supply.cores_now) * (time_left_s - team_supply.more_cores_in_s)
+              : 0;
+      const double available_core_s = team_supply.cores_now * time_left_s + additional_core_s;
+      const double unmet_core_s = std::max(work.late_core_s, due_core_s - available_core_s);
+      if (unmet_core_s > 0)
+        assessment = {State::insufficient, round_up(unmet_core_s / kSecondsPerHour), ""};
+      else if (due_core_s > kTightFraction * available_core_s)
+        assessment.state = State::tight;
     }
-    known.text = text_of(known.state, known.short_core_h);
-    found.emplace(key, std::move(known));
+    assessment.text = describe(assessment.state, assessment.unmet_core_h);
+    assessments.emplace(key, std::move(assessment));
   }
   std::vector<ForecastChange> changed;
-  for (const auto& [key, known] : found) {
-    const auto before = told_.find(key);
-    if (before == told_.end() || before->second != known)
-      changed.push_back({key.first, key.second, known.state, known.text});
+  for (const auto& [key, assessment] : assessments) {
+    const auto previous = reported_.find(key);
+    if (previous == reported_.end() || previous->second != assessment)
+      changed.push_back({key.first, key.second, assessment.state, assessment.text});
   }
-  told_ = std::move(found);
+  reported_ = std::move(assessments);
   return changed;
 }
 
 const std::string& DeadlineForecast::reason(const std::string& team, double cutoff) const {
   static const std::string kNone;
-  const auto known = told_.find({team, cutoff});
-  return known == told_.end() || known->second.state == State::on_time ? kNone : known->second.text;
+  const auto assessment = reported_.find({team, cutoff});
+  return assessment == reported_.end() || assessment->second.state == State::on_time
+             ? kNone
+             : assessment->second.text;
 }
 
 }  // namespace bankhill::calendar
--- a/src/calendar/deadline_forecast.hpp
+++ b/src/calendar/deadline_forecast.hpp
@@ -1,5 +1,5 @@
-// Whether what must be over by each cutoff still can be: the work left against the cores that can be had
-// until then. Pure: no input, output or clocks. Source: docs/CALENDARS.md, "What is told".
+// Forecasts whether the work due by each cutoff can be finished in time: compares the remaining work with the
+// cores available until then. Pure: no input, output or clocks. See docs/CALENDARS.md, "What is told".
 #pragma once
 
 #include <functional>
@@ -10,46 +10,50 @@
 
 namespace bankhill::calendar {
 
+// Holds the latest forecast for every cutoff. The leader updates it once per planning round.
 class DeadlineForecast {
  public:
-  enum class State { on_time, tight, short_of, missed };
-  // Of a tenant's cores, for its batches.
+  enum class State { on_time, tight, insufficient, missed };
+  // Cores that a tenant can use for its batch jobs.
   struct Supply {
-    double now = 0;     // that it can have at once
-    double most = 0;    // that it can have in all; infinite: as many as it takes
-    double more_s = 0;  // until more than now are there
+    double cores_now = 0;        // cores available at once
+    double max_cores = 0;        // cores available in total; infinite: no limit
+    double more_cores_in_s = 0;  // time until more than `cores_now` are available, in seconds
   };
-  struct ForecastChange {  // what has changed
+  // A cutoff whose forecast is new or has changed.
+  struct ForecastChange {
     std::string team;
-    double cutoff = 0;
+    double cutoff = 0;  // Unix time, in seconds
     State state = State::on_time;
-    std::string text;  // for the log, and of all but `on_time` for the jobs
+    std::string text;  // description for the log and, unless `on_time`, for the reasons shown for jobs
   };
 
-  // Each look begins anew, takes the unfinished work of every job with a cutoff, and ends with what changed.
+  // An update starts with start_update(), takes the unfinished work of every job that has a cutoff through
+  // add_work(), and ends with finish_update(), which returns the changes since the previous update.
   void start_update(double now);
+  // `core_s`: remaining work in core-seconds; `task_s`: estimated run time of one task in seconds.
   void add_work(const std::string& team, double cutoff, double core_s, double task_s);
   std::vector<ForecastChange> finish_update(const std::function<Supply(const std::string& team)>& supply);
-  // Nothing to be told: empty.
+  // Description to show for jobs with this cutoff; empty if they are on time.
   const std::string& reason(const std::string& team, double cutoff) const;
-  void clear() { told_.clear(); }
+  void clear() { reported_.clear(); }
 
  private:
   using Key = std::pair<std::string, double>;  // tenant and cutoff
-  struct Left {
-    double core_s = 0;
-    double late_core_s = 0;  // of it in tasks that take longer than there is time
+  struct RemainingWork {
+    double core_s = 0;       // total, in core-seconds
+    double late_core_s = 0;  // part in tasks that take longer than the time left, in core-seconds
   };
-  struct Known {
+  struct Assessment {
     State state = State::on_time;
-    double short_core_h = 0;
+    double unmet_core_h = 0;  // work that cannot be finished in time, rounded up, in core-hours
     std::string text;
-    bool operator==(const Known&) const = default;
+    bool operator==(const Assessment&) const = default;
   };
 
-  double now_ = 0;
-  std::map<Key, Left> left_;
-  std::map<Key, Known> told_;
+  double now_ = 0;                          // start of the current update, as Unix time in seconds
+  std::map<Key, RemainingWork> remaining_;  // work collected in the current update
+  std::map<Key, Assessment> reported_;      // result of the last update
 };
 
 }  // namespace bankhill::calendar
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -12,10 +12,10 @@
 using wire::ProtocolError;
 
 namespace {
-constexpr std::size_t kShown = 10;  // cutoffs
-constexpr int kRanks = 4;
+constexpr std::size_t kMaxCutoffsShown = 10;
+constexpr int kPriorityCount = 4;
 
-std::set<std::string> names_field(const Json& object, const char* name) {
+std::set<std::string> string_set_field(const Json& object, const char* name) {
   std::set<std::string> names;
   if (wire::absent(object, name)) return names;
   if (!object[name].is_array()) throw FieldError(name, "is not a list");
@@ -26,37 +26,38 @@
   return names;
 }
 
-const Json& list_field(const Json& object, const char* name) {
+const Json& array_field(const Json& object, const char* name) {
   static const Json kNone = Json::array();
   if (wire::absent(object, name)) return kNone;
   if (!object[name].is_array()) throw FieldError(name, "is not a list");
   return object[name];
 }
 
-calendar::Date date_of(const Json& item) {
+calendar::Date date_from_json(const Json& item) {
   const auto date = item.is_string() ? calendar::parse_date(item.get<std::string>()) : std::nullopt;
   if (!date) throw ProtocolError("a date is none");
   return *date;
 }
 
-int time_field(const Json& object, const char* name) {
+int time_of_day_field(const Json& object, const char* name) {
   const auto seconds = wire::count_field(object, name);
   if (seconds > static_cast<std::uint64_t>(calendar::kDayS)) throw FieldError(name, "is not a time");
   return static_cast<int>(seconds);
 }
 
-// What has its default is left out: a later version that knows more must find the same content the same.
+// Leaves out fields that have their default value, so that a later version with more fields writes equal
+// content for an equal policy.
 Json to_json(const Rules& rules) {
   Json object{{"name", rules.name}, {"zone", rules.zone}, {"classes", rules.classes}};
   if (rules.margin_s > 0) object["margin_s"] = rules.margin_s;
   for (const auto& weekly : rules.weekly)
     object["weekly"].push_back({{"days", weekly.days}, {"at_s", weekly.time_of_day_s}});
   for (const auto& filing : rules.dates) {
-    Json item{{"on", calendar::text_of(filing.date)}};
+    Json item{{"on", calendar::format_date(filing.date)}};
     if (filing.time_of_day_s) item["at_s"] = *filing.time_of_day_s;
     object["dates"].push_back(std::move(item));
   }
-  for (const auto& day : rules.days_off) object["days_off"].push_back(calendar::text_of(day));
+  for (const auto& day : rules.days_off) object["days_off"].push_back(calendar::format_date(day));
   return object;
 }
 
@@ -64,23 +65,23 @@
   Rules rules;
   rules.name = wire::text_field(object, "name");
   rules.zone = wire::text_field(object, "zone");
-  rules.classes = names_field(object, "classes");
+  rules.classes = string_set_field(object, "classes");
   if (!wire::absent(object, "margin_s")) rules.margin_s = wire::amount_field(object, "margin_s");
-  for (const auto& item : list_field(object, "weekly")) {
-    calendar::Weekly weekly;
-    for (const auto& day : list_field(item, "days")) {
+  for (const auto& item : array_field(object, "weekly")) {
+    calendar::WeeklyCutoff weekly;
+    for (const auto& day : array_field(item, "days")) {
       if (!day.is_number_unsigned() || day.get<unsigned>() > 6) throw ProtocolError("a weekday is none");
       weekly.days.insert(day.get<unsigned>());
     }
-    weekly.time_of_day_s = time_field(item, "at_s");
+    weekly.time_of_day_s = time_of_day_field(item, "at_s");
     rules.weekly.push_back(std::move(weekly));
   }
-  for (const auto& item : list_field(object, "dates")) {
-    calendar::Filing filing{date_of(item.value("on", Json())), std::nullopt};
-    if (!wire::absent(item, "at_s")) filing.time_of_day_s = time_field(item, "at_s");
+  for (const auto& item : array_field(object, "dates")) {
+    calendar::FilingDate filing{date_from_json(item.value("on", Json())), std::nullopt};
+    if (!wire::absent(item, "at_s")) filing.time_of_day_s = time_of_day_field(item, "at_s");
     rules.dates.push_back(filing);
   }
-  for (const auto& item : list_field(object, "days_off")) rules.days_off.insert(date_of(item));
+  for (const auto& item : array_field(object, "days_off")) rules.days_off.insert(date_from_json(item));
   return rules;
 }
 
@@ -92,48 +93,48 @@
   return object;
 }
 
-TierRule parse_tier(const Json& object) {
+TierRule parse_tier_rule(const Json& object) {
   TierRule rule;
-  rule.classes = names_field(object, "classes");
+  rule.classes = string_set_field(object, "classes");
   const auto tier = object.find("tier");
   if (tier == object.end() || !tier->is_number_integer() || *tier < kLowestTier || *tier > kHighestTier)
     throw FieldError("tier", "is none");
   rule.tier = tier->get<int>();
   if (!wire::absent(object, "guest")) rule.guest = wire::flag_field(object, "guest");
   if (!wire::absent(object, "rank")) {
-    const auto rank = wire::count_field(object, "rank");
-    if (rank >= kRanks) throw FieldError("rank", "is none");
-    rule.priority = static_cast<wire::Priority>(rank);
+    const auto priority = wire::count_field(object, "rank");
+    if (priority >= kPriorityCount) throw FieldError("rank", "is none");
+    rule.priority = static_cast<wire::Priority>(priority);
   }
   return rule;
 }
 
-std::string listed(const std::set<std::string>& names) {
+std::string join(const std::set<std::string>& names) {
   std::string text;
   for (const auto& name : names) text += (text.empty() ? "" : ", ") + name;
   return text;
 }
 
-std::string number(double value) {
+std::string format_number(double value) {
   char text[40];
   std::snprintf(text, sizeof text, "%g", value);
   return text;
 }
 }  // namespace
 
-bool TierRule::matches(const std::string& job_class, wire::Priority of, bool is_guest) const {
-  return (classes.empty() || classes.contains(job_class)) && (!priority || *priority == of) &&
+bool TierRule::matches(const std::string& job_class, wire::Priority job_priority, bool is_guest) const {
+  return (classes.empty() || classes.contains(job_class)) && (!priority || *priority == job_priority) &&
          (!guest || *guest == is_guest);
 }
 
 Json to_json(const TenantPolicy& tenant) {
-  static const TenantPolicy kUsual;
+  static const TenantPolicy kDefaults;
   Json object = Json::object();
   for (const auto& rules : tenant.calendars) object["calendars"].push_back(to_json(rules));
   for (const auto& rule : tenant.tier_rules) object["tiers"].push_back(to_json(rule));
   if (!tenant.refreshes.empty()) object["refreshes"] = tenant.refreshes;
-  if (tenant.tier_floor != kUsual.tier_floor) object["tier_floor"] = tenant.tier_floor;
-  if (tenant.tier_ages_s != kUsual.tier_ages_s) object["tier_ages_s"] = tenant.tier_ages_s;
+  if (tenant.tier_floor != kDefaults.tier_floor) object["tier_floor"] = tenant.tier_floor;
+  if (tenant.tier_ages_s != kDefaults.tier_ages_s) object["tier_ages_s"] = tenant.tier_ages_s;
   for (const auto& [job_class, span] : tenant.spans) object["spans"][job_class] = span;
   return object;
 }
@@ -141,38 +142,38 @@
 TenantPolicy parse_tenant(const Json& object) {
   if (!object.is_object()) throw ProtocolError("a tenant's policy is not an object");
   TenantPolicy tenant;
-  for (const auto& item : list_field(object, "calendars")) tenant.calendars.push_back(parse_rules(item));
-  for (const auto& item : list_field(object, "tiers")) tenant.tier_rules.push_back(parse_tier(item));
-  tenant.refreshes = names_field(object, "refreshes");
+  for (const auto& item : array_field(object, "calendars")) tenant.calendars.push_back(parse_rules(item));
+  for (const auto& item : array_field(object, "tiers")) tenant.tier_rules.push_back(parse_tier_rule(item));
+  tenant.refreshes = string_set_field(object, "refreshes");
   if (!wire::absent(object, "tier_floor")) tenant.tier_floor = wire::amount_field(object, "tier_floor");
   if (!wire::absent(object, "tier_ages_s")) tenant.tier_ages_s = wire::amount_field(object, "tier_ages_s");
   if (!wire::absent(object, "spans")) {
     if (!object["spans"].is_object()) throw FieldError("spans", "is not an object");
-    for (const auto& [queue, span] : object["spans"].items()) {
+    for (const auto& [job_class, span] : object["spans"].items()) {
       if (!span.is_number_unsigned() || span.get<std::uint64_t>() < 1 ||
           span.get<std::uint64_t>() > wire::kMaxTasks)
         throw ProtocolError("a span is none");
-      tenant.spans[queue] = span.get<std::uint32_t>();
+      tenant.spans[job_class] = span.get<std::uint32_t>();
     }
   }
   return tenant;
 }
 
-std::vector<std::string> Policy::set(const std::string& team, TenantPolicy tenant) {
-  std::vector<std::string> unknown;
+std::vector<std::string> Policy::set_tenant(const std::string& team, TenantPolicy tenant) {
+  std::vector<std::string> unknown_zone;
   auto& calendars = calendars_[team];
   calendars.clear();
   for (const auto& rules : tenant.calendars) {
     if (auto zone = calendar::Zone::load(rules.zone))
       calendars.emplace_back(rules, std::move(*zone));
     else
-      unknown.push_back(rules.name);
+      unknown_zone.push_back(rules.name);
   }
   tenants_[team] = std::move(tenant);
-  return unknown;
+  return unknown_zone;
 }
 
-void Policy::erase(const std::string& team) {
+void Policy::erase_tenant(const std::string& team) {
   tenants_.erase(team);
   calendars_.erase(team);
 }
@@ -195,12 +196,12 @@
   return rule == rules.end() ? 0 : rule->tier;
 }
 
-bool Policy::refresh(const std::string& team, const std::string& job_class) const {
+bool Policy::is_refresh_class(const std::string& team, const std::string& job_class) const {
   const auto tenant = tenants_.find(team);
   return tenant != tenants_.end() && tenant->second.refreshes.contains(job_class);
 }
 
-const calendar::Calendar* Policy::calendar_of(const std::string& team, const std::string& job_class) const {
+const calendar::Calendar* Policy::find_calendar(const std::string& team, const std::string& job_class) const {
   const auto calendars = calendars_.find(team);
   if (calendars == calendars_.end()) return nullptr;
   const auto found = std::find_if(calendars->second.begin(), calendars->second.end(),
@@ -210,41 +211,42 @@
 
 std::optional<double> Policy::cutoff(const std::string& team, const std::string& job_class,
                                      double accepted_at) const {
-  const auto* found = calendar_of(team, job_class);
-  return found == nullptr ? std::nullopt : found->next(accepted_at);
+  const auto* found = find_calendar(team, job_class);
+  return found == nullptr ? std::nullopt : found->next_cutoff(accepted_at);
 }
 
 std::string Policy::describe(double now) const {
   std::string text =
       "policy: version " + std::to_string(version_) + ", " + std::to_string(tenants_.size()) + " tenants\n";
-  std::multimap<double, std::string> ahead;
+  std::multimap<double, std::string> cutoffs;  // text lines by Unix time
   for (const auto& [team, calendars] : calendars_)
     for (const auto& item : calendars) {
-      auto at = item.next(now);
-      for (std::size_t i = 0; i < kShown && at; ++i, at = item.next(*at)) {
-        auto line = item.zone().local_text(*at + item.rules().margin_s) + "  " + team + ", " +
-                    item.rules().name + ": " + listed(item.rules().classes);
-        if (item.rules().margin_s > 0) line += ", over by " + item.zone().local_text(*at).substr(15, 8);
-        ahead.emplace(*at + item.rules().margin_s, std::move(line));
+      auto cutoff_s = item.next_cutoff(now);
+      for (std::size_t i = 0; i < kMaxCutoffsShown && cutoff_s; ++i, cutoff_s = item.next_cutoff(*cutoff_s)) {
+        auto line = item.zone().format_local_time(*cutoff_s + item.rules().margin_s) + "  " + team + ", " +
+                    item.rules().name + ": " + join(item.rules().classes);
+        if (item.rules().margin_s > 0)
+          line += ", over by " + item.zone().format_local_time(*cutoff_s).substr(15, 8);
+        cutoffs.emplace(*cutoff_s + item.rules().margin_s, std::move(line));
       }
     }
-  if (!ahead.empty()) text += "next cutoffs:\n";
+  if (!cutoffs.empty()) text += "next cutoffs:\n";
   std::size_t shown = 0;
-  for (const auto& [at, line] : ahead)
-    if (++shown <= kShown) text += "  " + line + "\n";
+  for (const auto& [unix_s, line] : cutoffs)
+    if (++shown <= kMaxCutoffsShown) text += "  " + line + "\n";
   for (const auto& [team, tenant] : tenants_) {
     text += team + ":\n";
     for (const auto& rule : tenant.tier_rules) {
       text += "  tier " + std::to_string(rule.tier) + ": " +
-              (rule.classes.empty() ? "all classes" : listed(rule.classes));
+              (rule.classes.empty() ? "all classes" : join(rule.classes));
       if (rule.priority) text += std::string(", rank ") + wire::name_of(*rule.priority);
       if (rule.guest) text += *rule.guest ? ", as a guest" : ", with a guarantee";
       text += "\n";
     }
-    if (!tenant.refreshes.empty()) text += "  before guest work: " + listed(tenant.refreshes) + "\n";
+    if (!tenant.refreshes.empty()) text += "  before guest work: " + join(tenant.refreshes) + "\n";
     if (!tenant.tier_rules.empty())
-      text += "  floor of lower tiers " + number(tenant.tier_floor) + ", a tier up each " +
-              number(tenant.tier_ages_s) + " s of waiting\n";
+      text += "  floor of lower tiers " + format_number(tenant.tier_floor) + ", a tier up each " +
+              format_number(tenant.tier_ages_s) + " s of waiting\n";
     for (const auto& [job_class, span] : tenant.spans)
       text += "  " + job_class + ": " + std::to_string(span) + " machines make one replica\n";
   }
@@ -252,11 +254,11 @@
 }
 
 std::string Policy::fingerprint() const {
-  Json all = Json::object();
-  for (const auto& [team, tenant] : tenants_) all[team] = to_json(tenant);
-  // FNV-1a: the same in every process and version, which std::hash is not.
+  Json policies = Json::object();
+  for (const auto& [team, tenant] : tenants_) policies[team] = to_json(tenant);
+  // FNV-1a gives the same hash in every process and version; std::hash does not.
   std::uint64_t hash = 14695981039346656037ULL;
-  for (const char c : all.dump()) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
+  for (const char c : policies.dump()) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
   char text[24];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(hash));
   return text;
