--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -20,7 +20,7 @@
   if (wire::absent(object, name)) return names;
   if (!object[name].is_array()) throw FieldError(name, "is not a list");
   for (const auto& item : object[name]) {
-    if (!item.is_string()) throw FieldError(name, "holds something other than names");
+    if (!item.is_string()) throw FieldError(name, "contains a value that is not a name");
     names.insert(item.get<std::string>());
   }
   return names;
@@ -35,13 +35,14 @@
 
 calendar::Date date_from_json(const Json& item) {
   const auto date = item.is_string() ? calendar::parse_date(item.get<std::string>()) : std::nullopt;
-  if (!date) throw ProtocolError("a date is none");
+  if (!date) throw ProtocolError("a date is not valid (expected YYYY-MM-DD)");
   return *date;
 }
 
 int time_of_day_field(const Json& object, const char* name) {
   const auto seconds = wire::count_field(object, name);
-  if (seconds > static_cast<std::uint64_t>(calendar::kDayS)) throw FieldError(name, "is not a time");
+  if (seconds > static_cast<std::uint64_t>(calendar::kDayS))
+    throw FieldError(name, "is not a time of day in seconds (0 to 86400)");
   return static_cast<int>(seconds);
 }
 
@@ -70,7 +71,8 @@
   for (const auto& item : array_field(object, "weekly")) {
     calendar::WeeklyCutoff weekly;
     for (const auto& day : array_field(item, "days")) {
-      if (!day.is_number_unsigned() || day.get<unsigned>() > 6) throw ProtocolError("a weekday is none");
+      if (!day.is_number_unsigned() || day.get<unsigned>() > 6)
+        throw ProtocolError("a weekday is not a number from 0 (Sunday) to 6");
       weekly.days.insert(day.get<unsigned>());
     }
     weekly.time_of_day_s = time_of_day_field(item, "at_s");
@@ -103,7 +105,7 @@
   if (!wire::absent(object, "guest")) rule.guest = wire::flag_field(object, "guest");
   if (!wire::absent(object, "rank")) {
     const auto priority = wire::count_field(object, "rank");
-    if (priority >= kPriorityCount) throw FieldError("rank", "is none");
+    if (priority >= kPriorityCount) throw FieldError("rank", "is not a number from 0 to 3");
     rule.priority = static_cast<wire::Priority>(priority);
   }
   return rule;
@@ -152,7 +154,7 @@
     for (const auto& [job_class, span] : object["spans"].items()) {
       if (!span.is_number_unsigned() || span.get<std::uint64_t>() < 1 ||
           span.get<std::uint64_t>() > wire::kMaxTasks)
-        throw ProtocolError("a span is none");
+        throw ProtocolError("a span is not a whole number between 1 and the maximum task count");
       tenant.spans[job_class] = span.get<std::uint32_t>();
     }
   }
@@ -226,7 +228,7 @@
         auto line = item.zone().format_local_time(*cutoff_s + item.rules().margin_s) + "  " + team + ", " +
                     item.rules().name + ": " + join(item.rules().classes);
         if (item.rules().margin_s > 0)
-          line += ", over by " + item.zone().format_local_time(*cutoff_s).substr(15, 8);
+          line += ", finish by " + item.zone().format_local_time(*cutoff_s).substr(15, 8);
         cutoffs.emplace(*cutoff_s + item.rules().margin_s, std::move(line));
       }
     }
@@ -240,15 +242,17 @@
       text += "  tier " + std::to_string(rule.tier) + ": " +
               (rule.classes.empty() ? "all classes" : join(rule.classes));
       if (rule.priority) text += std::string(", rank ") + wire::name_of(*rule.priority);
-      if (rule.guest) text += *rule.guest ? ", as a guest" : ", with a guarantee";
+      if (rule.guest) text += *rule.guest ? ", without a guarantee" : ", with a guarantee";
       text += "\n";
     }
-    if (!tenant.refreshes.empty()) text += "  before guest work: " + join(tenant.refreshes) + "\n";
+    if (!tenant.refreshes.empty())
+      text += "  classes placed before guest work: " + join(tenant.refreshes) + "\n";
     if (!tenant.tier_rules.empty())
-      text += "  floor of lower tiers " + format_number(tenant.tier_floor) + ", a tier up each " +
-              format_number(tenant.tier_ages_s) + " s of waiting\n";
+      text += "  lower tiers get at least " + format_number(tenant.tier_floor) +
+              " of task starts; waiting raises a job one tier every " + format_number(tenant.tier_ages_s) +
+              " s\n";
     for (const auto& [job_class, span] : tenant.spans)
-      text += "  " + job_class + ": " + std::to_string(span) + " machines make one replica\n";
+      text += "  " + job_class + ": " + std::to_string(span) + " machines per replica\n";
   }
   return text;
 }
--- a/src/policy/policy_file.cpp
+++ b/src/policy/policy_file.cpp
@@ -27,7 +27,7 @@
 }
 
 std::string read_name(const Node& node, const std::string& what) {
-  if (!node.IsScalar() || node.Scalar().empty()) fail(node, what + " is not a name");
+  if (!node.IsScalar() || node.Scalar().empty()) fail(node, what + " is not a non-empty string");
   return node.Scalar();
 }
 
@@ -35,7 +35,7 @@
   double value = 0;
   if (!node.IsScalar() || !YAML::convert<double>::decode(node, value) || !std::isfinite(value) ||
       value < min || value > max)
-    fail(node, what + " is no number in its range");
+    fail(node, what + " is not a number within its allowed range");
   return value;
 }
 
@@ -43,7 +43,7 @@
   std::uint64_t value = 0;
   if (!node.IsScalar() || node.Scalar().front() == '-' ||
       !YAML::convert<std::uint64_t>::decode(node, value) || value < min)
-    fail(node, what + " is no whole number from " + std::to_string(min) + " on");
+    fail(node, what + " is not a whole number (" + std::to_string(min) + " or more)");
   return value;
 }
 
@@ -56,7 +56,7 @@
     const auto name = read_name(entry.first, "a key of " + what);
     const auto reader = readers.find(name);
     if (reader == readers.end()) fail(entry.first, fmt::format("unknown key '{}' in {}", name, what));
-    if (!seen.insert(name).second) fail(entry.first, fmt::format("'{}' stands twice in {}", name, what));
+    if (!seen.insert(name).second) fail(entry.first, fmt::format("duplicate key '{}' in {}", name, what));
     reader->second(entry.second);
   }
 }
@@ -69,14 +69,14 @@
 calendar::Date read_date(const Node& node) {
   const auto value = read_name(node, "a date");
   const auto found = calendar::parse_date(value);
-  if (!found) fail(node, "'" + value + "' is no day of the calendar (YYYY-MM-DD)");
+  if (!found) fail(node, "'" + value + "' is not a valid date (expected YYYY-MM-DD)");
   return *found;
 }
 
 int read_time(const Node& node) {
   const auto value = read_name(node, "a time");
   const auto found = calendar::parse_time(value);
-  if (!found) fail(node, "'" + value + "' is no time of a day (HH:MM)");
+  if (!found) fail(node, "'" + value + "' is not a valid time of day (expected HH:MM or HH:MM:SS)");
   return *found;
 }
 
@@ -105,9 +105,9 @@
   std::set<std::string> read_classes(const Node& node, const std::string& what) const {
     std::set<std::string> names;
     read_list(node, what, [&](const Node& item) {
-      if (!names.insert(read_class(item)).second) fail(item, "'" + item.Scalar() + "' stands twice");
+      if (!names.insert(read_class(item)).second) fail(item, "'" + item.Scalar() + "' is listed twice");
     });
-    if (names.empty()) fail(node, what + " names no class");
+    if (names.empty()) fail(node, what + " lists no class");
     return names;
   }
 
@@ -116,7 +116,7 @@
     for (const auto& entry : node) {
       const auto team = read_name(entry.first, "a team");
       if (!site_.teams.contains(team)) fail(entry.first, "unknown team '" + team + "'");
-      if (policy.tenants().contains(team)) fail(entry.first, "team '" + team + "' stands twice");
+      if (policy.tenants().contains(team)) fail(entry.first, "team '" + team + "' is listed twice");
       policy.set_tenant(team, read_tenant(entry.second));
     }
   }
@@ -152,10 +152,10 @@
       const auto span = read_integer(entry.second, "a span", 2);
       const auto max_span = site_.max_machines > 0 ? site_.max_machines : std::uint64_t{wire::kMaxTasks};
       if (span > max_span)
-        fail(entry.second, "a replica over " + std::to_string(span) +
-                               " machines fits no fleet here: " + std::to_string(max_span) + " at most");
+        fail(entry.second, "a replica of " + std::to_string(span) + " machines exceeds the maximum of " +
+                               std::to_string(max_span) + " machines at this site");
       if (!result.emplace(name, static_cast<std::uint32_t>(span)).second)
-        fail(entry.first, "'" + name + "' stands twice in spans");
+        fail(entry.first, "'" + name + "' is listed twice in spans");
     }
     return result;
   }
@@ -165,7 +165,7 @@
   void add_tier(TenantPolicy& tenant, const Node& node) const {
     TierRule rule;
     bool has_tier = false;
-    read_members(node, "a tier's rule",
+    read_members(node, "a tier rule",
                  {{"classes", [&](const Node& item) { rule.classes = read_classes(item, "classes"); }},
                   {"rank",
                    [&](const Node& item) {
@@ -178,16 +178,16 @@
                    [&](const Node& item) {
                      bool value = false;
                      if (!item.IsScalar() || !YAML::convert<bool>::decode(item, value))
-                       fail(item, "guest is not true or false");
+                       fail(item, "guest must be true or false");
                      rule.guest = value;
                    }},
                   {"tier", [&](const Node& item) {
                      const double value = read_number(item, "tier", kLowestTier, kHighestTier);
-                     if (value != std::floor(value)) fail(item, "tier is no whole number");
+                     if (value != std::floor(value)) fail(item, "tier is not a whole number");
                      rule.tier = static_cast<int>(value);
                      has_tier = true;
                    }}});
-    if (!has_tier) fail(node, "a tier's rule has no tier");
+    if (!has_tier) fail(node, "a tier rule has no tier");
     for (const auto& earlier : tenant.tier_rules) {
       const bool covers_classes =
           earlier.classes.empty() ||
@@ -195,7 +195,7 @@
                                                   rule.classes.begin(), rule.classes.end()));
       if (covers_classes && (!earlier.priority || earlier.priority == rule.priority) &&
           (!earlier.guest || earlier.guest == rule.guest))
-        fail(node, "overlaps an earlier rule, which matches all that this one does");
+        fail(node, "tier rule never applies: an earlier rule matches all of its jobs");
     }
     tenant.tier_rules.push_back(std::move(rule));
   }
@@ -239,7 +239,7 @@
                   {"days_off", [&](const Node& items) {
                      read_list(items, "days_off", [&](const Node& item) {
                        if (!rules.days_off.insert(read_date(item)).second)
-                         fail(item, "'" + item.Scalar() + "' stands twice");
+                         fail(item, "'" + item.Scalar() + "' is listed twice");
                      });
                    }}});
     return rules;
@@ -247,10 +247,10 @@
 
   static void check_complete(const calendar::Rules& rules, const Node& node) {
     if (rules.name.empty()) fail(node, "a calendar has no name");
-    if (rules.zone.empty()) fail(node, "calendar '" + rules.name + "' has no zone");
-    if (rules.classes.empty()) fail(node, "calendar '" + rules.name + "' is for no class");
+    if (rules.zone.empty()) fail(node, "calendar '" + rules.name + "' has no time zone (zone)");
+    if (rules.classes.empty()) fail(node, "calendar '" + rules.name + "' lists no class");
     if (rules.weekly.empty() && rules.dates.empty())
-      fail(node, "calendar '" + rules.name + "' has no cutoff");
+      fail(node, "calendar '" + rules.name + "' has no cutoff (weekly or dates)");
   }
 
   // Rejects filing dates whose time is skipped by a clock change. Weekly cutoffs may be skipped on one day of
@@ -262,18 +262,18 @@
     for (const auto& [filing, item] : filings)
       if (filing.time_of_day_s &&
           zone->is_skipped(last_working_day(rules, filing.date), *filing.time_of_day_s))
-        fail(item, "there is no " + calendar::format_time(*filing.time_of_day_s) + " in " + rules.zone +
-                       " on that day: the clocks are put forward");
+        fail(item, "local time " + calendar::format_time(*filing.time_of_day_s) + " does not exist in " +
+                       rules.zone + " on that day: the clocks are put forward");
   }
 
   // Allows at most one calendar per job class, so that a job has one cutoff.
   static void check_overlap(const TenantPolicy& tenant, const calendar::Rules& rules, const Node& node) {
     for (const auto& other : tenant.calendars) {
-      if (other.name == rules.name) fail(node, "calendar '" + rules.name + "' stands twice");
+      if (other.name == rules.name) fail(node, "calendar '" + rules.name + "' is listed twice");
       for (const auto& name : rules.classes)
         if (other.classes.contains(name))
-          fail(node, "calendars '" + other.name + "' and '" + rules.name + "' overlap: both are for '" +
-                         name + "'");
+          fail(node, "calendars '" + other.name + "' and '" + rules.name +
+                         "' overlap: both apply to class '" + name + "'");
     }
   }
 
@@ -287,9 +287,9 @@
                        const auto name = read_name(item, "a day");
                        const auto found = std::find(kWeekdays.begin(), kWeekdays.end(), name);
                        if (found == kWeekdays.end())
-                         fail(item, "'" + name + "' is no day of the week (mon, tue, ...)");
+                         fail(item, "'" + name + "' is not a day of the week (expected mon, tue, ...)");
                        if (!result.days.insert(static_cast<unsigned>(found - kWeekdays.begin())).second)
-                         fail(item, "'" + name + "' stands twice");
+                         fail(item, "'" + name + "' is listed twice");
                      });
                    }},
                   {"at", [&](const Node& item) {
@@ -301,7 +301,7 @@
     for (const auto& other : rules.weekly)
       for (const auto day : result.days)
         if (other.time_of_day_s == result.time_of_day_s && other.days.contains(day))
-          fail(node, "overlaps an earlier cutoff: " + kWeekdays[day] + " " +
+          fail(node, "a weekly cutoff is listed twice: " + kWeekdays[day] + " " +
                          calendar::format_time(result.time_of_day_s));
     return result;
   }
@@ -315,11 +315,11 @@
       read_members(node, "a filing date",
                    {{"on", [&](const Node& item) { date = read_date(item); }},
                     {"at", [&](const Node& item) { result.time_of_day_s = read_time(item); }}});
-      if (!date) fail(node, "a filing date has no day (on)");
+      if (!date) fail(node, "a filing date has no date (on)");
       result.date = *date;
     }
     if (std::find(rules.dates.begin(), rules.dates.end(), result) != rules.dates.end())
-      fail(node, "'" + calendar::format_date(result.date) + "' stands twice");
+      fail(node, "'" + calendar::format_date(result.date) + "' is listed twice");
     return result;
   }
 
--- a/src/policy/policy_watcher.cpp
+++ b/src/policy/policy_watcher.cpp
@@ -33,7 +33,7 @@
     is_header ? apply_header(change) : apply_tenant(change.key.substr(wire::kPolicyKeyPrefix.size()), change);
   }
   if (!changed) return;
-  log_->info("policy: version {} of {} tenants is in force", policy_.version(), policy_.tenants().size());
+  log_->info("policy: version {} with {} tenants is in force", policy_.version(), policy_.tenants().size());
   for (const auto& subscriber : subscribers_) subscriber();
   if (file_) publish_file();
 }
@@ -46,9 +46,11 @@
     header_ = Header{wire::count_field(*change.data, "version"), wire::text_field(*change.data, "file")};
     policy_.set_version(header_->version);
   } catch (const wire::ProtocolError& error) {
-    log_->error("policy: {} cannot be read ({})", change.key, error.what());
+    log_->error("policy: header record {} cannot be read ({}); any controller's policy file may replace it",
+                change.key, error.what());
   } catch (const Json::exception& error) {
-    log_->error("policy: {} cannot be read ({})", change.key, error.what());
+    log_->error("policy: header record {} cannot be read ({}); any controller's policy file may replace it",
+                change.key, error.what());
   }
 }
 
@@ -58,14 +60,15 @@
   try {
     for (const auto& name : policy_.set_tenant(team, parse_tenant(*change.data)))
       log_->error(
-          "policy: {}: the time zone of calendar '{}' is not known here: jobs accepted here get no cutoff",
+          "policy: team {}: time zone of calendar '{}' is unknown on this machine; jobs accepted by this "
+          "controller get no cutoff from this calendar",
           team, name);
     readable_tenants_.insert(team);
   } catch (const wire::ProtocolError& error) {
-    log_->error("policy: {} cannot be read ({}): the last one that could stays in force", change.key,
+    log_->error("policy: record {} cannot be read ({}); the last readable one stays in force", change.key,
                 error.what());
   } catch (const Json::exception& error) {
-    log_->error("policy: {} cannot be read ({}): the last one that could stays in force", change.key,
+    log_->error("policy: record {} cannot be read ({}); the last readable one stays in force", change.key,
                 error.what());
   }
 }
@@ -74,8 +77,9 @@
   if (!header_ || header_->version < file_header_.version || *header_ == file_header_) return true;
   if (std::exchange(logged_, true)) return false;
   if (header_->version > file_header_.version)
-    log_->info("policy: version {} is in force, newer than this controller's file, {}", header_->version,
-               file_header_.version);
+    log_->info(
+        "policy: version {} is in force; this controller's file has the older version {} and is not used",
+        header_->version, file_header_.version);
   else
     warn_of_difference();
   return false;
@@ -94,10 +98,10 @@
   for (const auto& [team, tenant] : stored)
     if (!file_->tenants().contains(team)) add(team);
   log_->warn(
-      "policy: this controller's file differs from what is stored under the same version, {}, in {}: the "
+      "policy: this controller's file differs from the stored policy of the same version, {}, in {}; the "
       "stored "
-      "one is in force; raise the version to change it",
-      file_header_.version, differing.empty() ? "nothing that is read here" : differing);
+      "policy stays in force; raise the version to change it",
+      file_header_.version, differing.empty() ? "no tenant that this controller can read" : differing);
 }
 
 std::vector<state::Write> PolicyWatcher::missing_writes() const {
@@ -130,7 +134,7 @@
     if (write.data && wire::stored_bytes(*write.data) > max_bytes) {
       if (!std::exchange(logged_, true))
         log_->error(
-            "policy: {} takes more than the {} bytes that can be stored: version {} of the file is not used",
+            "policy: record {} exceeds the {} bytes that can be stored; version {} of the file is not used",
             write.key, max_bytes, file_header_.version);
       return;
     }
@@ -151,7 +155,7 @@
   store_.tell(state::Commit{std::move(transaction), guard([this](state::CommitResult result) {
                               writing_ = false;
                               if (result.outcome == Outcome::committed)
-                                log_->info("policy: records of version {} written", file_header_.version);
+                                log_->info("policy: wrote the records of version {}", file_header_.version);
                               // The outcome, if unknown, shows in the watch; writes that are still missing
                               // then are retried.
                               timer_ = loop().after(retry_interval_s_, [this] { publish_file(); });
--- a/tests/calendar_test.cpp
+++ b/tests/calendar_test.cpp
@@ -169,7 +169,7 @@
   const Calendar calendar(rules, oslo());
   const double cutoff = expected_unix_time(make_date(2027, 5, 15), 12 * 3600) - 600;
   EXPECT_EQ(calendar.next_cutoff(cutoff - 1), cutoff);
-  EXPECT_FALSE(calendar.next_cutoff(cutoff)) << "it was the only one";
+  EXPECT_FALSE(calendar.next_cutoff(cutoff)) << "there is no other cutoff";
 }
 
 TEST(Calendar, HasNoCutoffWhenAllDaysAreOff) {
@@ -197,13 +197,13 @@
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes[0].state, State::on_time);
   EXPECT_EQ(forecast.reason("red", 10'000), "");
-  EXPECT_TRUE(update_forecast(forecast, 10, 50'000, ten_cores).empty()) << "told already";
+  EXPECT_TRUE(update_forecast(forecast, 10, 50'000, ten_cores).empty()) << "already reported";
   EXPECT_EQ(update_forecast(forecast, 0, 90'000, ten_cores).at(0).state, State::tight);
   EXPECT_EQ(forecast.reason("red", 10'000), "tight");
   changes = update_forecast(forecast, 0, 100'000 + 9 * 3600, ten_cores);
   EXPECT_EQ(changes.at(0).text, "short by 10 core-hours");
   EXPECT_TRUE(update_forecast(forecast, 0, 100'000 + 8 * 3600, ten_cores).empty())
-      << "about as short as before";
+      << "the rounded shortfall has not changed";
   // Cores that can be rented count from the time at which they are available.
   EXPECT_EQ(update_forecast(forecast, 0, 100'000 + 9 * 3600, {10, 20, 100}).at(0).state, State::on_time);
   EXPECT_EQ(update_forecast(forecast, 0, 100'000 + 9 * 3600, {10, 20, 9'000}).at(0).state,
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -122,8 +122,8 @@
     ++cutoffs;
   EXPECT_EQ(cutoffs, 10U) << text;
   for (const auto* part :
-       {"version 3", "Mon 2027-01-18 08:00:00 +0100", "over by 07:45:00", "tier 2: night, rank high",
-        "before guest work: night", "model: 8 machines make one replica"})
+       {"version 3", "Mon 2027-01-18 08:00:00 +0100", "finish by 07:45:00", "tier 2: night, rank high",
+        "before guest work: night", "model: 8 machines per replica"})
     EXPECT_NE(text.find(part), std::string::npos) << part << "\n" << text;
 }
 
@@ -152,26 +152,26 @@
            {"version: 3", "version: 0", "line 3:", "version"},
            {"  version: 3\n", "", "line 3:", "no version"},
            {"    red:", "    rd:", "line 5:", "unknown team 'rd'"},
-           {"    blue:", "    red:", "line 26:", "stands twice"},
+           {"    blue:", "    red:", "line 26:", "listed twice"},
            {"calendars:", "calender:", "line 6:", "unknown key 'calender'"},
            {"zone: Europe/Oslo", "zone: Europe/Bergen", "line 7:", "unknown time zone"},
            {"classes: [night]\n          margin", "classes: [knight]\n          margin",
             "line 9:", "unknown class 'knight'"},
            {"margin_s: 900", "margin_s: -1", "line 10:", "margin_s"},
            {"margin_s: 900", "margin_s: soon", "line 10:", "margin_s"},
-           {"[mon, tue,", "[monday, tue,", "line 12:", "no day of the week"},
-           {"[mon, tue,", "[tue, tue,", "line 12:", "stands twice"},
-           {"at: \"08:00\"", "at: \"24:30\"", "line 13:", "no time of a day"},
-           {"2027-02-10", "2027-02-29", "line 16:", "no day of the calendar"},
+           {"[mon, tue,", "[monday, tue,", "line 12:", "not a day of the week"},
+           {"[mon, tue,", "[tue, tue,", "line 12:", "listed twice"},
+           {"at: \"08:00\"", "at: \"24:30\"", "line 13:", "not a valid time of day"},
+           {"2027-02-10", "2027-02-29", "line 16:", "not a valid date"},
            {"2027-05-31, at: \"12:00\"", "2027-03-28, at: \"02:30\"",
             "line 15:", "the clocks are put forward"},
            {"{ classes: [night], tier: 1 }", "{ classes: [night], rank: high, tier: 1 }",
-            "line 20:", "overlaps"},
+            "line 20:", "never applies"},
            {"{ guest: true, tier: -1 }", "{ guest: true, tier: -10 }", "line 21:", "tier"},
            {"{ guest: true, tier: -1 }", "{ guest: true }", "line 21:", "no tier"},
            {"rank: high", "rank: highest", "line 19:", "unknown rank"},
            {"tier_floor: 0.2", "tier_floor: 0.6", "line 23:", "tier_floor"},
-           {"spans: { model: 4 }", "spans: { model: 51 }", "line 25:", "fits no fleet"},
+           {"spans: { model: 4 }", "spans: { model: 51 }", "line 25:", "exceeds the maximum of 50"},
            {"spans: { model: 4 }", "spans: { model: 1 }", "line 25:", "a span"},
        }) {
     auto text = kPolicyFile;
@@ -180,7 +180,7 @@
     text.replace(at, std::string(fault.from).size(), fault.to);
     try {
       policy::parse_policy(text, kSite);
-      ADD_FAILURE() << fault.to << " is taken";
+      ADD_FAILURE() << fault.to << " is accepted";
     } catch (const policy::PolicyError& error) {
       EXPECT_NE(std::string(error.what()).find(fault.line), std::string::npos)
           << fault.to << ": " << error.what();
