--- a/src/election/elector.hpp
+++ b/src/election/elector.hpp
@@ -1,5 +1,5 @@
-// Leadership: a persistent term counter and a leader key on a lease, raised and taken in one transaction.
-// The term is the fencing token that workers see.
+// Leader election. One transaction increments the persistent term counter and writes the leader key, which is
+// attached to a lease. Agents use the term as the fencing token.
 #pragma once
 
 #include <functional>
@@ -14,33 +14,45 @@
 namespace bankhill::election {
 
 struct Timing {
-  double ttl_s = 0;      // of the leader's lease
-  double renew_s = 0;    // between renewals
-  double drift = 0.001;  // steady clocks may differ by half of this, each way
+  // Time-to-live of the leader's lease, in seconds.
+  double ttl_s = 0;
+  // Time between two renewals of the lease, in seconds.
+  double renew_interval_s = 0;
+  // Largest relative difference between the rates of two steady clocks: each may deviate by half of this, in
+  // either direction.
+  double clock_drift = 0.001;
 };
 
-// Of a lease with this time-to-live (model/cancellation_bound.hpp).
+// Returns the timing for a leader lease with this time-to-live (see model/cancellation_bound.hpp).
 Timing timing_from(double ttl_s);
 
-// Until when this controller may act as the holder of `hold`, on its own steady clock.
+// The lease that this controller holds, and the time until which it may act as the lease's holder.
 struct LeaseValidity {
+  // 0 if the controller holds no lease.
   std::uint64_t lease_id = 0;
+  // On this controller's steady clock, in seconds.
   double valid_until = 0;
 };
 
-// Messages.
+// Messages of the elector.
+
+// Keys of the state service have changed.
 struct StoreChanged {
   state::Changes changes;
 };
-struct RaiseTerm {};  // makes direct commands of the current term void
-struct Resign {};     // gives the leadership up, and leaves it to others for some time
+// Increments the term, so that agents reject direct commands of the current one.
+struct RaiseTerm {};
+// Gives up the leadership and abstains from elections for some time, so that a peer can win.
+struct Resign {};
 
-// Campaigns for this controller, renews its lease, and tells until when it may act.
+// The actor that campaigns for this controller, renews its lease and reports until when it may act as the
+// leader. `on_validity` is called with each new validity and with an empty one once the lease is lost;
+// `has_connected_peer` tells whether any peer is connected.
 class Elector : public runtime::Actor<Elector, StoreChanged, RaiseTerm, Resign> {
  public:
   Elector(runtime::Loop& loop, state::Store& store, runtime::Log log, std::string node,
           std::uint64_t incarnation, Timing timing, std::function<void(LeaseValidity)> on_validity,
-          std::function<bool()> connected);
+          std::function<bool()> has_connected_peer);
   void start();
 
   void on(StoreChanged& message);
@@ -48,12 +60,12 @@
   void on(Resign& message);
 
  private:
-  void evaluate();
+  void check_leadership();
   void campaign();
-  void claim(std::uint64_t lease_id, bool again = false);
+  void claim_leadership(std::uint64_t lease_id, bool is_retry = false);
   void renew();
   void on_lease_lost();
-  bool leading() const;
+  bool is_leading() const;
   std::optional<wire::LeaderRecord> leader() const;
   std::optional<std::uint64_t> term() const;
   wire::Json next_term() const;
@@ -64,16 +76,21 @@
   std::uint64_t incarnation_;
   Timing timing_;
   std::function<void(LeaseValidity)> on_validity_;
-  std::function<bool()> connected_;
-  state::StoreCache view_;
-  std::uint64_t lease_id_ = 0;  // 0: no lease
+  std::function<bool()> has_connected_peer_;
+  state::StoreCache cache_;
+  // 0 without a lease.
+  std::uint64_t lease_id_ = 0;
+  // Steady-clock time since which no controller has led; -1 while one leads or this is not known.
   double vacant_since_ = -1;
-  double claimed_at_ = 0;  // when the transaction that is to win was sent
+  // Steady-clock time at which the current claim of the leadership was first sent.
+  double first_claimed_at_ = 0;
+  // Steady-clock time until which this controller lets its peers campaign first.
   double abstain_until_ = -1;
   bool campaigning_ = false;
-  bool claim_unconfirmed_ = false;  // whether the transaction that is to win was not seen to be applied
+  // Whether the last claim was answered without a confirmation that it was committed.
+  bool claim_unconfirmed_ = false;
   bool raising_term_ = false;
-  runtime::Timer retry_;
+  runtime::Timer check_timer_;
   runtime::Timer renew_timer_;
 };
 
--- a/src/state/key_fetcher.hpp
+++ b/src/state/key_fetcher.hpp
@@ -1,5 +1,5 @@
-// Reads single keys, a few at a time, each until it is answered. One that is not is asked again later and
-// later; those behind it need not wait for that.
+// Reads single keys from the state service, a few at a time, and retries each until it is answered. The delay
+// of the retries grows; other reads do not wait for them.
 #pragma once
 
 #include <deque>
@@ -17,10 +17,11 @@
 // Message: reads one key.
 struct FetchRequest {
   std::string key;
-  std::function<void(const std::optional<Entry>&)> done;  // empty: the key does not exist
+  // Called with the key's entry, or with nothing if the key does not exist.
+  std::function<void(const std::optional<Entry>&)> done;
 };
 
-// The actor that reads them.
+// The actor that queues the reads, limits how many are in flight and retries those that fail.
 class KeyFetcher : public runtime::Actor<KeyFetcher, FetchRequest> {
  public:
   KeyFetcher(runtime::Loop& loop, Store& store) : Actor(loop), store_(store) {}
@@ -28,17 +29,17 @@
 
  private:
   struct Pending {
-    FetchRequest read;
-    int refused = 0;
-    runtime::Timer again;
+    FetchRequest request;
+    int failures = 0;
+    runtime::Timer retry_timer;
   };
-  void next();
-  void refused(const std::shared_ptr<Pending>& pending);
+  void send_next();
+  void retry_later(const std::shared_ptr<Pending>& pending);
 
   Store& store_;
-  std::deque<std::shared_ptr<Pending>> waiting_;
-  std::set<std::shared_ptr<Pending>> later_;
-  std::size_t under_way_ = 0;
+  std::deque<std::shared_ptr<Pending>> queue_;
+  std::set<std::shared_ptr<Pending>> delayed_;
+  std::size_t in_flight_ = 0;
 };
 
 }  // namespace bankhill::state
--- a/src/state/state_protocol.cpp
+++ b/src/state/state_protocol.cpp
@@ -14,7 +14,7 @@
 namespace {
 constexpr std::size_t kPageSize = 1000;
 
-constexpr int kNoAnswer = 0;
+constexpr int kNoResponse = 0;
 constexpr int kOk = 200;
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
@@ -24,15 +24,16 @@
 
 Json parse_body(const Response& response) { return Json::parse(response.body, nullptr, false); }
 
-// The body of an answer that says yes; null if it does not, or is no JSON object with this field.
+// Returns the body of a successful response, or null if the response is not successful or its body is not a
+// JSON object with this field.
 Json parse_success(const Response& response, const char* required_field) {
   if (response.status != kOk) return {};
   Json body = parse_body(response);
   return body.is_object() && body.contains(required_field) ? body : Json();
 }
 
-AnswerError error_of(const Response& response) {
-  return response.status == kTooManyRequests ? AnswerError::limited : AnswerError::unusable;
+ResponseError response_error(const Response& response) {
+  return response.status == kTooManyRequests ? ResponseError::rate_limited : ResponseError::unusable;
 }
 
 Change parse_change(const Json& item, wire::KeyRevision revision) {
@@ -68,7 +69,7 @@
       return Outcome::invalid;
     case kTooManyRequests:
       return Outcome::rate_limited;
-    case kNoAnswer:
+    case kNoResponse:
       return Outcome::unknown;
     default:
       return Outcome::refused;
@@ -84,11 +85,11 @@
   return {Method::get, std::move(path), ""};
 }
 
-std::variant<KeyPage, AnswerError> parse_list(const Response& response, bool is_first) {
+std::variant<KeyPage, ResponseError> parse_list(const Response& response, bool is_first) {
   const Json body = parse_success(response, "items");
-  if (body.is_null()) return error_of(response);
+  if (body.is_null()) return response_error(response);
   KeyPage page;
-  if (is_first) page.epoch = wire::StoreRevision{wire::count_field(body, "epoch")};
+  if (is_first) page.revision = wire::StoreRevision{wire::count_field(body, "epoch")};
   for (const auto& item : body["items"]) {
     const wire::KeyRevision revision{wire::count_field(item, "stamp")};
     page.entries.emplace_back(wire::text_field(item, "k"), Entry{item.value("data", Json()), revision});
@@ -104,18 +105,19 @@
           ""};
 }
 
-std::variant<News, AnswerError> parse_watch(const Response& response, wire::StoreRevision known) {
-  if (response.status == kGone) return AnswerError::compacted;
+std::variant<WatchUpdate, ResponseError> parse_watch(const Response& response,
+                                                     wire::StoreRevision last_revision) {
+  if (response.status == kGone) return ResponseError::compacted;
   const Json body = parse_success(response, "epoch");
-  if (body.is_null()) return error_of(response);
-  News news;
-  news.epoch = wire::StoreRevision{wire::count_field(body, "epoch")};
-  if (wire::absent(body, "news")) return news;
+  if (body.is_null()) return response_error(response);
+  WatchUpdate update;
+  update.revision = wire::StoreRevision{wire::count_field(body, "epoch")};
+  if (wire::absent(body, "news")) return update;
   for (const auto& item : body["news"]) {
     const wire::KeyRevision revision{wire::count_field(item, "stamp")};
-    if (revision.value > known.value) news.changes.push_back(parse_change(item, revision));
+    if (revision.value > last_revision.value) update.changes.push_back(parse_change(item, revision));
   }
-  return news;
+  return update;
 }
 
 Request key_request(const std::string& key) { return {Method::get, "/keys/" + key, ""}; }
@@ -141,12 +143,12 @@
   return result;
 }
 
-Request open_lease_request(double ttl_s) {
+Request grant_lease_request(double ttl_s) {
   const auto ttl_ms = static_cast<std::uint64_t>(ttl_s * 1000);
   return {Method::post, "/leases", Json{{"ttl_ms", ttl_ms}}.dump()};
 }
 
-std::optional<std::uint64_t> parse_open_lease(const Response& response) {
+std::optional<std::uint64_t> parse_grant_lease(const Response& response) {
   const Json body = parse_success(response, "hold");
   if (body.is_null()) return std::nullopt;
   return wire::count_field(body, "hold");
@@ -162,6 +164,6 @@
   return LeaseRenewal::unknown;
 }
 
-Request end_lease_request(std::uint64_t lease_id) { return {Method::del, lease_path(lease_id), ""}; }
+Request revoke_lease_request(std::uint64_t lease_id) { return {Method::del, lease_path(lease_id), ""}; }
 
 }  // namespace bankhill::state::protocol
--- a/src/state/state_protocol.hpp
+++ b/src/state/state_protocol.hpp
@@ -1,7 +1,8 @@
-// The protocol of the state service: its requests and answers as HTTP and JSON. Pure: it sends nothing.
+// The protocol of the state service: encodes its requests and decodes its responses, as HTTP and JSON. These
+// functions send nothing.
 //
-// An answer that breaks the protocol within its own form (a field that is missing or of another type) throws
-// wire::Malformed or Json::exception.
+// Decoding a successful response in which a field is missing or has the wrong type throws wire::ProtocolError
+// or Json::exception.
 #pragma once
 
 #include <cstdint>
@@ -17,53 +18,57 @@
 
 namespace bankhill::state::protocol {
 
-// Why an answer tells nothing of what was asked.
-enum class AnswerError {
-  unusable,   // none in time, or none of this protocol: to be asked again
-  limited,    // the service's limit of requests is used up
-  compacted,  // the changes that a watch asked for are no longer kept: all keys must be read
+// Why a response carries no result.
+enum class ResponseError {
+  unusable,      // no response in time, or not one of this protocol: the request is to be repeated
+  rate_limited,  // the service's request limit is exhausted
+  compacted,     // the service no longer keeps the changes that a watch requested: all keys must be listed
 };
 
-// One page of a list of all keys, in their order.
+// One page of the list of all keys, ordered by key.
 struct KeyPage {
-  wire::StoreRevision epoch;  // that the whole list is as new as; of the first page only
+  // Store revision that the whole list reflects; only set for the first page.
+  wire::StoreRevision revision;
   std::vector<std::pair<std::string, Entry>> entries;
   bool has_next = false;
 };
 
-// What has changed since a watch's starting point.
-struct News {
-  wire::StoreRevision epoch;  // up to which every change is told
+// The changes since a watch's starting revision.
+struct WatchUpdate {
+  // Store revision up to which every change is included.
+  wire::StoreRevision revision;
   std::vector<Change> changes;
 };
 
-// A lease that was asked to go on.
+// Result of a request to renew a lease.
 enum class LeaseRenewal {
   renewed,
-  ended,    // for good
-  unknown,  // cannot tell
+  ended,    // the lease no longer exists and cannot be renewed
+  unknown,  // no usable response
 };
 
-// What the service holds under one key.
+// Whether the service has a value for a key.
 enum class KeyStatus {
-  unknown,  // cannot tell
-  missing,  // no such key
+  unknown,  // no usable response
+  missing,  // the key does not exist
   found,
 };
 struct KeyResponse {
   KeyStatus status = KeyStatus::unknown;
-  std::optional<Entry> entry;  // of `found` only
+  std::optional<Entry> entry;  // only set if the status is `found`
 };
 
-// The page of keys after this one; empty: the first page.
+// Requests the page of keys after `after_key`, or the first page if that is empty.
 net::Request list_request(const std::string& after_key);
-// `is_first`: the answer to a request of the first page.
-std::variant<KeyPage, AnswerError> parse_list(const net::Response& response, bool is_first);
+// `is_first`: whether the first page was requested.
+std::variant<KeyPage, ResponseError> parse_list(const net::Response& response, bool is_first);
 
-// The changes after this revision. Without any the service waits this long for one; 0: it answers at once.
+// Requests the changes after this revision. If there are none, the service waits for one for up to `block_ms`
+// milliseconds; with 0 it responds at once.
 net::Request watch_request(wire::StoreRevision after, int block_ms);
-// Changes up to `known` are left out.
-std::variant<News, AnswerError> parse_watch(const net::Response& response, wire::StoreRevision known);
+// Omits the changes up to `last_revision`.
+std::variant<WatchUpdate, ResponseError> parse_watch(const net::Response& response,
+                                                     wire::StoreRevision last_revision);
 
 net::Request key_request(const std::string& key);
 KeyResponse parse_key(const net::Response& response);
@@ -71,13 +76,13 @@
 net::Request commit_request(const Transaction& transaction);
 CommitResult parse_commit(const net::Response& response);
 
-net::Request open_lease_request(double ttl_s);
-// The lease; nothing: none was opened, or it cannot be told.
-std::optional<std::uint64_t> parse_open_lease(const net::Response& response);
+net::Request grant_lease_request(double ttl_s);
+// Returns the id of the lease, or nothing if none was granted or the outcome is unknown.
+std::optional<std::uint64_t> parse_grant_lease(const net::Response& response);
 
 net::Request renew_lease_request(std::uint64_t lease_id);
 LeaseRenewal parse_renew_lease(const net::Response& response);
 
-net::Request end_lease_request(std::uint64_t lease_id);
+net::Request revoke_lease_request(std::uint64_t lease_id);
 
 }  // namespace bankhill::state::protocol
--- a/src/state/store.cpp
+++ b/src/state/store.cpp
@@ -6,37 +6,40 @@
 namespace bankhill::state {
 
 using net::Response;
-using protocol::AnswerError;
+using protocol::ResponseError;
 
 namespace {
-// No answer for this long: the request counts as unanswered. Answers usually take milliseconds.
-constexpr double kAnswerS = 1.0;
-constexpr int kWatchMs = 10'000;
+// Time after which a request counts as unanswered. Responses usually take milliseconds.
+constexpr double kResponseTimeoutS = 1.0;
+constexpr int kWatchBlockMs = 10'000;
 constexpr double kWatchTimeoutS = 15.0;
-constexpr double kHeartbeatS = 1.0;
-constexpr double kListS = 4.0;
-// Parts of the request limit that the read barriers and the watches of all controllers may use.
+// Interval of the read barriers that are sent while the watch brings no updates.
+constexpr double kIdlePollS = 1.0;
+constexpr double kListTimeoutS = 4.0;
+// Shares of the request limit that the read barriers and the watches of all controllers may use.
 constexpr double kBarrierShare = 0.25;
 constexpr double kWatchShare = 0.3;
-// The same for single keys: a flood of questions about jobs that left memory must leave the barriers, which
-// all other answers need, their part.
+// Share of the request limit for reads of single keys: a burst of queries about jobs that were evicted from
+// memory must leave the read barriers, which all other responses depend on, their share.
 constexpr double kFetchShare = 0.25;
-// A barrier that the service refuses for its limit is tried again for this long: users wait 2 s, and no other
-// controller would fare better.
-constexpr double kInsistS = 1.2;
-// Part of the write limit that only users and elections may use.
-constexpr double kUrgentReserve = 0.3;
-// Of the write limit: what was counted too much, such as puts of others seen late, may still be had.
-constexpr double kWritesOwed = 0.1;
-// Of the write limit: the margin is for writes that are not seen, such as failed conditions.
-constexpr double kWritesUsed = 0.95;
-
-// How soon what was not answered is asked again.
+// Time for which a read barrier that the service refuses for its request limit is retried, and after which a
+// queued read of a key is dropped: users wait 2 s, and a peer would be refused as well.
+constexpr double kRetryWindowS = 1.2;
+// Share of the write limit that only users and elections may use.
+constexpr double kUrgentReserveShare = 0.3;
+// Share of the write limit by which the budget may be overdrawn before users' writes are refused, since the
+// budget may count too many writes, such as those of peers that are seen late.
+constexpr double kWriteOverdraftShare = 0.1;
+// Share of the write limit that the budget covers. The margin is for writes that no watch shows, such as
+// those of transactions whose conditions fail.
+constexpr double kWriteBudgetShare = 0.95;
+
+// Bounds of the random delay before a list or watch that failed is repeated.
 constexpr double kRetryMinS = 0.1;
 constexpr double kRetryMaxS = 0.3;
 
-// Of the limit of requests, for this controller.
-double requests(const Limits& limits, double share) {
+// Returns this controller's part of a share of the request limit, in requests per second.
+double request_rate(const Limits& limits, double share) {
   return limits.requests_per_s * share / static_cast<double>(limits.controllers);
 }
 }  // namespace
@@ -47,20 +50,20 @@
       log_(std::move(log)),
       address_(std::move(address)),
       limits_(limits),
-      writes_(limits.writes_per_s * kWritesUsed, limits.writes_per_s * kWritesUsed),
-      fetches_(requests(limits, kFetchShare), std::max(1.0, requests(limits, kFetchShare))) {}
+      write_budget_(limits.writes_per_s * kWriteBudgetShare, limits.writes_per_s * kWriteBudgetShare),
+      fetch_budget_(request_rate(limits, kFetchShare), std::max(1.0, request_rate(limits, kFetchShare))) {}
 
 bool Store::is_write_limit_exhausted() {
-  return writes_.level(loop().now()) < -kWritesOwed * limits_.writes_per_s;
+  return write_budget_.level(loop().now()) < -kWriteOverdraftShare * limits_.writes_per_s;
 }
 
 double Store::background_write_budget() {
-  return writes_.level(loop().now()) - kUrgentReserve * limits_.writes_per_s;
+  return write_budget_.level(loop().now()) - kUrgentReserveShare * limits_.writes_per_s;
 }
 
 void Store::start() {
-  list("");
-  heartbeat();
+  list_keys("");
+  poll_if_idle();
 }
 
 void Store::send(net::Request request, double timeout_s, net::Reply reply) {
@@ -68,147 +71,152 @@
                guard([reply = std::move(reply)](Response response) { reply(std::move(response)); }));
 }
 
-void Store::list(std::string after) {
+void Store::list_keys(std::string after) {
   const bool is_first = after.empty();
   if (is_first) {
-    listing_.clear();
-    listing_epoch_ = {};
+    listed_entries_.clear();
+    listing_revision_ = {};
   }
   auto request = protocol::list_request(after);
-  send(std::move(request), kListS, [this, is_first, after = std::move(after)](const Response& response) {
-    auto page = protocol::parse_list(response, is_first);
-    if (std::holds_alternative<AnswerError>(page)) return list_again(after);
-    if (is_first) listing_epoch_ = std::get<protocol::KeyPage>(page).epoch;
-    take_page(std::move(std::get<protocol::KeyPage>(page)));
-  });
+  send(std::move(request), kListTimeoutS,
+       [this, is_first, after = std::move(after)](const Response& response) {
+         auto page = protocol::parse_list(response, is_first);
+         if (std::holds_alternative<ResponseError>(page)) return retry_list(after);
+         if (is_first) listing_revision_ = std::get<protocol::KeyPage>(page).revision;
+         add_page(std::move(std::get<protocol::KeyPage>(page)));
+       });
 }
 
-// The same page: from the first one, a service at its limit would keep a long list from ever ending.
-void Store::list_again(const std::string& after) {
-  list_timer_ = loop().after(loop().uniform(kRetryMinS, kRetryMaxS), [this, after] { list(after); });
+// Requests the same page again: restarting at the first page could keep a long list from ever completing
+// while the service is at its request limit.
+void Store::retry_list(const std::string& after) {
+  list_timer_ = loop().after(loop().uniform(kRetryMinS, kRetryMaxS), [this, after] { list_keys(after); });
 }
 
-void Store::take_page(protocol::KeyPage&& page) {
-  std::string last;
+void Store::add_page(protocol::KeyPage&& page) {
+  std::string last_key;
   for (auto& [key, entry] : page.entries) {
-    listing_[key] = std::move(entry);
-    last = std::move(key);
+    listed_entries_[key] = std::move(entry);
+    last_key = std::move(key);
   }
-  if (page.has_next && !last.empty()) return list(std::move(last));
+  if (page.has_next && !last_key.empty()) return list_keys(std::move(last_key));
   finish_list();
 }
 
 void Store::finish_list() {
-  // What was known and is no longer listed was deleted meanwhile.
+  // A key that existed before and is not listed has been deleted in the meantime.
   std::vector<Change> changes;
-  for (const auto& [key, revision] : known_)
-    if (!listing_.contains(key) && revision.value <= listing_epoch_.value)
-      changes.push_back({key, std::nullopt, wire::KeyRevision{listing_epoch_.value + 1}});
-  for (auto& [key, entry] : listing_) changes.push_back({key, std::move(entry.data), entry.revision});
-  listing_.clear();
-  epoch_ = listing_epoch_;
+  for (const auto& [key, revision] : key_revisions_)
+    if (!listed_entries_.contains(key) && revision.value <= listing_revision_.value)
+      changes.push_back({key, std::nullopt, wire::KeyRevision{listing_revision_.value + 1}});
+  for (auto& [key, entry] : listed_entries_) changes.push_back({key, std::move(entry.data), entry.revision});
+  listed_entries_.clear();
+  revision_ = listing_revision_;
   publish(std::move(changes));
   synced_ = true;
-  relist_ = false;
-  last_news_ = loop().now();
-  log_->info("state: read all keys at epoch {}", epoch_.value);
+  relisting_ = false;
+  last_update_ = loop().now();
+  log_->info("state: read all keys at epoch {}", revision_.value);
   watch();
 }
 
 void Store::publish(std::vector<Change> changes) {
-  std::vector<Change> fresh;
+  std::vector<Change> newer_changes;
   for (auto& change : changes) {
-    if (!take_revision(change)) continue;
-    count_write(change.key);
-    fresh.push_back(std::move(change));
+    if (!update_revision(change)) continue;
+    count_peer_write(change.key);
+    newer_changes.push_back(std::move(change));
   }
-  if (fresh.empty()) return;
-  const auto shared = std::make_shared<const std::vector<Change>>(std::move(fresh));
+  if (newer_changes.empty()) return;
+  const auto shared = std::make_shared<const std::vector<Change>>(std::move(newer_changes));
   for (const auto& subscriber : subscribers_) subscriber(shared);
 }
 
-// Whether the change is newer than what is known of its key, which it becomes.
-bool Store::take_revision(const Change& change) {
-  const auto found = known_.find(change.key);
-  if (found != known_.end() && found->second >= change.revision) return false;
+// Returns whether the change is newer than the known revision of its key, and records its revision if so.
+bool Store::update_revision(const Change& change) {
+  const auto found = key_revisions_.find(change.key);
+  if (found != key_revisions_.end() && found->second >= change.revision) return false;
   if (change.data) {
-    known_[change.key] = change.revision;
+    key_revisions_[change.key] = change.revision;
     return true;
   }
-  if (found == known_.end()) return false;
-  known_.erase(found);
+  if (found == key_revisions_.end()) return false;
+  key_revisions_.erase(found);
   return true;
 }
 
-// Writes of this controller were counted when they were sent.
-void Store::count_write(const std::string& key) {
-  if (const auto own = own_.find(key); own != own_.end())
-    own_.erase(own);
+// Counts a peer's write against the write budget; this controller's writes were counted when they were sent.
+void Store::count_peer_write(const std::string& key) {
+  if (const auto own_write = own_writes_.find(key); own_write != own_writes_.end())
+    own_writes_.erase(own_write);
   else if (synced_)
-    writes_.spend(loop().now(), 1);
+    write_budget_.spend(loop().now(), 1);
 }
 
-bool Store::apply_news(WatchAnswer answer) {
-  if (const auto* error = std::get_if<AnswerError>(&answer)) {
-    if (*error == AnswerError::compacted) list_anew();
+bool Store::apply_update(WatchResult result) {
+  if (const auto* error = std::get_if<ResponseError>(&result)) {
+    if (*error == ResponseError::compacted) restart_list();
     return false;
   }
-  auto& news = std::get<protocol::News>(answer);
-  publish(std::move(news.changes));
-  epoch_ = std::max(epoch_, news.epoch);
-  last_news_ = loop().now();
+  auto& update = std::get<protocol::WatchUpdate>(result);
+  publish(std::move(update.changes));
+  revision_ = std::max(revision_, update.revision);
+  last_update_ = loop().now();
   return true;
 }
 
-void Store::list_anew() {
-  if (std::exchange(relist_, true)) return;
+void Store::restart_list() {
+  if (std::exchange(relisting_, true)) return;
   log_->info("state: the watch is too far behind, reading all keys");
-  list("");
+  list_keys("");
 }
 
 void Store::watch() {
   watch_timer_.reset();
-  send(protocol::watch_request(epoch_, kWatchMs), kWatchTimeoutS, [this](const Response& response) {
-    // Watch and barrier overlap: what an earlier response covered must not undo a later deletion.
-    const bool fine = apply_news(protocol::parse_watch(response, epoch_));
-    if (relist_) return;
-    // A short pause lets changes gather, so that a burst does not cost a request each.
-    const double pause = fine ? 1 / requests(limits_, kWatchShare) : loop().uniform(kRetryMinS, kRetryMaxS);
-    watch_timer_ = loop().after(pause, [this] { watch(); });
+  send(protocol::watch_request(revision_, kWatchBlockMs), kWatchTimeoutS, [this](const Response& response) {
+    // Watch and barrier overlap: a change that an earlier response included must not undo a later deletion.
+    const bool succeeded = apply_update(protocol::parse_watch(response, revision_));
+    if (relisting_) return;
+    // A short pause collects changes, so that a burst does not cost one request per change.
+    const double delay_s =
+        succeeded ? 1 / request_rate(limits_, kWatchShare) : loop().uniform(kRetryMinS, kRetryMaxS);
+    watch_timer_ = loop().after(delay_s, [this] { watch(); });
   });
 }
 
-void Store::heartbeat() {
-  // An open watch does not show an outage: ask now and then, so that health and peers know.
-  if (loop().now() - last_news_ >= kHeartbeatS * 0.9 && synced_) tell(ReadBarrier{[](bool) {}, false});
-  heartbeat_timer_ = loop().after(kHeartbeatS * loop().uniform(0.9, 1.1), [this] { heartbeat(); });
+void Store::poll_if_idle() {
+  // An open watch does not reveal an outage: read barriers at intervals do, so that the health endpoint and
+  // the peers learn of it.
+  if (loop().now() - last_update_ >= kIdlePollS * 0.9 && synced_) tell(ReadBarrier{[](bool) {}, false});
+  poll_timer_ = loop().after(kIdlePollS * loop().uniform(0.9, 1.1), [this] { poll_if_idle(); });
 }
 
 void Store::on(ReadBarrier& message) {
   if (!synced_) return message.done(false);
-  waiting_.push_back({std::move(message.done), loop().now() + kInsistS});
-  waiting_urgent_ = waiting_urgent_ || message.urgent;
+  pending_barriers_.push_back({std::move(message.done), loop().now() + kRetryWindowS});
+  barrier_is_urgent_ = barrier_is_urgent_ || message.urgent;
   run_barrier();
 }
 
 void Store::run_barrier() {
-  if (barrier_running_ || waiting_.empty()) return;
-  const double wait =
-      waiting_urgent_ ? 0 : last_barrier_ + 1 / requests(limits_, kBarrierShare) - loop().now();
-  if (wait > 0) return run_barrier_later(wait);
+  if (barrier_running_ || pending_barriers_.empty()) return;
+  const double delay_s =
+      barrier_is_urgent_ ? 0
+                         : last_barrier_sent_at_ + 1 / request_rate(limits_, kBarrierShare) - loop().now();
+  if (delay_s > 0) return schedule_barrier(delay_s);
   barrier_running_ = true;
-  waiting_urgent_ = false;
-  last_barrier_ = loop().now();
-  auto served_now = std::exchange(waiting_, {});
-  // A watch that does not block reads every change up to now: whatever was committed before this request
-  // was sent is in its answer.
-  send(protocol::watch_request(epoch_, 0), kAnswerS,
-       [this, served_now = std::move(served_now)](const Response& response) mutable {
-         barrier_over(std::move(served_now), protocol::parse_watch(response, epoch_));
+  barrier_is_urgent_ = false;
+  last_barrier_sent_at_ = loop().now();
+  auto served = std::exchange(pending_barriers_, {});
+  // A watch that does not block returns every change so far: its response includes everything that was
+  // committed before this request was sent.
+  send(protocol::watch_request(revision_, 0), kResponseTimeoutS,
+       [this, served = std::move(served)](const Response& response) mutable {
+         finish_barrier(std::move(served), protocol::parse_watch(response, revision_));
        });
 }
 
-void Store::run_barrier_later(double wait_s) {
+void Store::schedule_barrier(double wait_s) {
   if (barrier_timer_) return;
   barrier_timer_ = loop().after(wait_s, [this] {
     barrier_timer_.reset();
@@ -216,101 +224,103 @@
   });
 }
 
-void Store::barrier_over(std::vector<Waiting> served_now, WatchAnswer answer) {
-  const auto* error = std::get_if<AnswerError>(&answer);
-  const bool limited = error != nullptr && *error == AnswerError::limited;
-  const bool fine = !relist_ && apply_news(std::move(answer));
+void Store::finish_barrier(std::vector<PendingBarrier> served, WatchResult result) {
+  const auto* error = std::get_if<ResponseError>(&result);
+  const bool rate_limited = error != nullptr && *error == ResponseError::rate_limited;
+  const bool succeeded = !relisting_ && apply_update(std::move(result));
   barrier_running_ = false;
-  for (auto& waiting : served_now)
-    if (limited && loop().now() < waiting.until)
-      waiting_.push_back(std::move(waiting));
+  for (auto& barrier : served)
+    if (rate_limited && loop().now() < barrier.deadline)
+      pending_barriers_.push_back(std::move(barrier));
     else
-      waiting.done(fine);
+      barrier.done(succeeded);
   run_barrier();
 }
 
-void Store::set_aside(const std::string& key, wire::KeyRevision revision, const char* why) {
-  auto& told = set_aside_[key];
-  if (told >= revision) return;
-  told = revision;
-  log_->error("state: {} cannot be read ({}): it is set aside, all else goes on", key, why);
+void Store::report_malformed(const std::string& key, wire::KeyRevision revision, const char* reason) {
+  auto& reported_revision = reported_malformed_[key];
+  if (reported_revision >= revision) return;
+  reported_revision = revision;
+  log_->error("state: {} cannot be read ({}): it is set aside, all else goes on", key, reason);
 }
 
 void Store::on(Commit& message) {
-  const auto puts = static_cast<double>(message.transaction.writes.size());
-  if (!message.urgent && background_write_budget() < puts) return message.done({Outcome::refused, {}});
-  // Urgent ones are tried in any case: the service has the last word, and answers at once.
-  writes_.spend(loop().now(), puts);
+  const auto write_count = static_cast<double>(message.transaction.writes.size());
+  if (!message.urgent && background_write_budget() < write_count) return message.done({Outcome::refused, {}});
+  // Urgent transactions are sent in any case: the service decides, and responds at once.
+  write_budget_.spend(loop().now(), write_count);
   std::vector<std::string> keys;
   for (const auto& write : message.transaction.writes) {
     keys.push_back(write.key);
-    own_.insert(write.key);
+    own_writes_.insert(write.key);
   }
-  send(protocol::commit_request(message.transaction), kAnswerS,
+  send(protocol::commit_request(message.transaction), kResponseTimeoutS,
        [this, done = std::move(message.done), keys = std::move(keys)](const Response& response) {
          const auto result = protocol::parse_commit(response);
-         if (result.outcome == Outcome::invalid) warn_of_malformed(keys, response.body);
-         if (result.outcome != Outcome::committed) forget_writes(keys, result.outcome);
+         if (result.outcome == Outcome::invalid) log_rejected(keys, response.body);
+         if (result.outcome != Outcome::committed) discard_own_writes(keys, result.outcome);
          done(result);
        });
 }
 
-void Store::warn_of_malformed(const std::vector<std::string>& keys, const std::string& reason) {
+void Store::log_rejected(const std::vector<std::string>& keys, const std::string& reason) {
   log_->warn("state: transaction of {} writes ({}{}) refused as malformed: {}", keys.size(),
              keys.empty() ? "" : keys.front(), keys.size() > 1 ? ", ..." : "", reason);
 }
 
-// No change of ours will be seen, or only as another's.
-void Store::forget_writes(const std::vector<std::string>& keys, Outcome outcome) {
-  // Not written, so not to be counted against what may be.
-  if (outcome == Outcome::rate_limited) writes_.spend(loop().now(), -static_cast<double>(keys.size()));
+// Removes a transaction that is not known to be committed from the expected own writes. If its changes are
+// seen after all, they count as those of a peer.
+void Store::discard_own_writes(const std::vector<std::string>& keys, Outcome outcome) {
+  // Nothing was written, so the budget is restored.
+  if (outcome == Outcome::rate_limited) write_budget_.spend(loop().now(), -static_cast<double>(keys.size()));
   for (const auto& key : keys)
-    if (const auto own = own_.find(key); own != own_.end()) own_.erase(own);
+    if (const auto own_write = own_writes_.find(key); own_write != own_writes_.end())
+      own_writes_.erase(own_write);
 }
 
 void Store::on(FetchKey& message) {
-  auto& waiting = fetching_[message.key];
-  waiting.push_back(std::move(message.done));
-  if (waiting.size() > 1) return;
-  to_fetch_.emplace_back(std::move(message.key), loop().now() + kInsistS);
-  next_fetch();
-}
-
-void Store::next_fetch() {
-  while (!to_fetch_.empty()) {
-    const auto [key, until] = to_fetch_.front();
-    const bool late = loop().now() > until;
-    if (!late && !fetches_.take(loop().now())) return next_fetch_later();
-    to_fetch_.pop_front();
-    if (late)  // whoever asked has gone: those who came lately can still be answered in time
-      fetched(key, {});
+  auto& callbacks = fetch_callbacks_[message.key];
+  callbacks.push_back(std::move(message.done));
+  if (callbacks.size() > 1) return;
+  fetch_queue_.emplace_back(std::move(message.key), loop().now() + kRetryWindowS);
+  send_fetches();
+}
+
+void Store::send_fetches() {
+  while (!fetch_queue_.empty()) {
+    const auto [key, deadline] = fetch_queue_.front();
+    const bool expired = loop().now() > deadline;
+    if (!expired && !fetch_budget_.take(loop().now())) return schedule_fetches();
+    fetch_queue_.pop_front();
+    if (expired)  // its user has timed out; without this read, newer ones can still be answered in time
+      finish_fetch(key, {});
     else
-      fetch(key);
+      send_fetch(key);
   }
 }
 
-void Store::next_fetch_later() {
+void Store::schedule_fetches() {
   if (fetch_timer_) return;
-  fetch_timer_ = loop().after(1 / requests(limits_, kFetchShare), [this] {
+  fetch_timer_ = loop().after(1 / request_rate(limits_, kFetchShare), [this] {
     fetch_timer_.reset();
-    next_fetch();
+    send_fetches();
   });
 }
 
-void Store::fetch(const std::string& key) {
-  send(protocol::key_request(key), kAnswerS,
-       [this, key](const Response& response) { fetched(key, protocol::parse_key(response)); });
+void Store::send_fetch(const std::string& key) {
+  send(protocol::key_request(key), kResponseTimeoutS,
+       [this, key](const Response& response) { finish_fetch(key, protocol::parse_key(response)); });
 }
 
-void Store::fetched(const std::string& key, const KeyResponse& answer) {
-  const auto waiting = fetching_.extract(key);
-  for (const auto& done : waiting.mapped()) done(answer);
+void Store::finish_fetch(const std::string& key, const KeyResponse& response) {
+  const auto callbacks = fetch_callbacks_.extract(key);
+  for (const auto& done : callbacks.mapped()) done(response);
 }
 
 void Store::on(GrantLease& message) {
-  send(protocol::open_lease_request(message.ttl_s), kAnswerS,
+  send(protocol::grant_lease_request(message.ttl_s), kResponseTimeoutS,
        [done = std::move(message.done)](const Response& response) {
-         done(protocol::parse_open_lease(response));
+         done(protocol::parse_grant_lease(response));
        });
 }
 
@@ -322,7 +332,7 @@
 }
 
 void Store::on(RevokeLease& message) {
-  send(protocol::end_lease_request(message.lease_id), kAnswerS, [](const Response&) {});
+  send(protocol::revoke_lease_request(message.lease_id), kResponseTimeoutS, [](const Response&) {});
 }
 
 }  // namespace bankhill::state
--- a/src/state/store.hpp
+++ b/src/state/store.hpp
@@ -1,5 +1,5 @@
-// Client of the state service: transactions, a watch on everything bankhill keeps there, and the read
-// barrier that makes what is known locally as new as any answer that any controller has given.
+// Client of the state service: transactions, a watch on all of bankhill's keys, and a read barrier that makes
+// the local state at least as new as any response that any controller has given.
 #pragma once
 
 #include <deque>
@@ -24,13 +24,13 @@
 
 namespace bankhill::state {
 
-// Of the state service, as it announces them.
+// Limits that the state service announces.
 struct Limits {
-  double requests_per_s = 100;  // requests a second
-  double writes_per_s = 50;     // puts a second
-  double value_kb = 8;          // of one value
-  std::size_t txn_ops = 16;     // writes of one transaction
-  std::size_t controllers = 3;  // that share these limits
+  double requests_per_s = 100;
+  double writes_per_s = 50;     // each write of a transaction counts
+  double value_kb = 8;          // largest size of one value
+  std::size_t txn_ops = 16;     // most writes in one transaction
+  std::size_t controllers = 3;  // number of controllers that share these limits
 };
 
 using protocol::KeyResponse;
@@ -39,27 +39,31 @@
 
 // Messages of the store.
 
-// Carries out a transaction.
+// Executes a transaction.
 struct Commit {
   Transaction transaction;
   std::function<void(CommitResult)> done;
-  // What users and elections wait for. Bookkeeping leaves them a part of the limits.
+  // Whether users or elections wait for the transaction. Transactions that are not urgent leave a part of the
+  // write limit to those that are.
   bool urgent = true;
 };
-// Read barrier: done(true) once every change committed before this message has been published.
+// Read barrier: calls done(true) once every change committed before this message has been published, and
+// done(false) if that cannot be confirmed.
 struct ReadBarrier {
   std::function<void(bool)> done;
-  bool urgent = false;  // sent at once, whatever the barriers have used of the limits
+  // Whether to send the request at once, even if the read barriers' share of the request limit is exhausted.
+  bool urgent = false;
 };
-// Reads one key from the service itself; several requests for one key at a time are one.
+// Reads one key from the service rather than from local state; concurrent reads of a key share one request.
 struct FetchKey {
   std::string key;
   std::function<void(const KeyResponse&)> done;
 };
-// Opens a lease.
+// Requests a new lease.
 struct GrantLease {
   double ttl_s = 0;
-  std::function<void(std::optional<std::uint64_t> lease_id)> done;  // nothing: none, or it cannot be told
+  // Called with nothing if no lease was granted or the outcome is unknown.
+  std::function<void(std::optional<std::uint64_t> lease_id)> done;
 };
 // Renews a lease.
 struct RenewLease {
@@ -67,47 +71,47 @@
   double timeout_s = 0;
   std::function<void(LeaseRenewal)> done;
 };
-// Ends a lease; nobody waits for the answer.
+// Revokes a lease; the response is ignored.
 struct RevokeLease {
   std::uint64_t lease_id = 0;
 };
 
-// The actor that speaks to the state service for all others of a controller.
+// The actor that sends the requests of all other actors of a controller to the state service.
 class Store
     : public runtime::Actor<Store, Commit, ReadBarrier, FetchKey, GrantLease, RenewLease, RevokeLease> {
  public:
   Store(runtime::Loop& loop, net::Client& client, runtime::Log log, std::string address, Limits limits);
 
-  // Subscribers get every change once, in order; call before start().
+  // Subscribers are called with every change once, in order; to be called before start().
   void subscribe(std::function<void(Changes)> subscriber) { subscribers_.push_back(std::move(subscriber)); }
-  // Reads all keys, then watches them.
+  // Lists all keys, then watches them.
   void start();
-  // Seconds since news were last had from the service. Leases and transactions that are answered are not
-  // enough: without news no question of a user can be.
-  double update_age_s() const { return loop().now() - last_news_; }
-  // Whether all keys were read once.
+  // Seconds since the last successful response to a list, a watch or a read barrier. Responses to leases and
+  // transactions do not count: without updates no user's query can be answered.
+  double update_age_s() const { return loop().now() - last_update_; }
+  // Whether all keys have been listed once.
   bool synced() const { return synced_; }
-  // Whether the key was there at the last news. Keys of jobs are never deleted, so it tells a job that left
-  // memory from one that was never accepted.
-  bool has(const std::string& key) const { return known_.contains(key); }
-  // Takes in a record that a controller stored. One that cannot be read ends nobody: it is set aside under
-  // its name, told once in the log, and its reader goes on with the others.
+  // Whether the key existed as of the last update. Keys of jobs are never deleted, so this distinguishes a
+  // job that was evicted from memory from one that was never accepted.
+  bool has(const std::string& key) const { return key_revisions_.contains(key); }
+  // Parses a record that a controller stored. A malformed record must not end the process: it is logged once
+  // for each revision of its key, and nothing is returned, so that the caller continues with other records.
   template <class Parse>
   std::optional<std::invoke_result_t<Parse>> try_parse(const std::string& key, wire::KeyRevision revision,
                                                        Parse parse) {
     try {
       return parse();
     } catch (const std::exception& error) {
-      set_aside(key, revision, error.what());
+      report_malformed(key, revision, error.what());
       return std::nullopt;
     }
   }
-  // Of the service that this store was made for.
   const Limits& limits() const { return limits_; }
-  // Puts that bookkeeping may commit now. Every controller sees every change, so it knows what the others
-  // use: nothing of the limit is set aside for controllers that write nothing.
+  // Number of keys that background work may write now. Every controller sees every change and so knows how
+  // much its peers write: no part of the limit is reserved for controllers that write nothing.
   double background_write_budget();
-  // Whether a put of users is sure enough to be refused for the limit that asking would only use up requests.
+  // Whether the service would almost certainly refuse a user's write because of the write limit, so that
+  // sending it would only waste requests.
   bool is_write_limit_exhausted();
 
   void on(Commit& message);
@@ -118,71 +122,79 @@
   void on(RevokeLease& message);
 
  private:
-  struct Waiting {  // for a barrier
+  // A read barrier that has not been answered.
+  struct PendingBarrier {
     std::function<void(bool)> done;
-    double until = 0;  // answered by then in any case
+    // Steady-clock time until which it is retried if the service refuses it for its request limit.
+    double deadline = 0;
   };
-  using WatchAnswer = std::variant<protocol::News, protocol::AnswerError>;
+  using WatchResult = std::variant<protocol::WatchUpdate, protocol::ResponseError>;
 
   void send(net::Request request, double timeout_s, net::Reply reply);
 
-  void list(std::string after);
-  void list_again(const std::string& after);
-  void list_anew();
-  void take_page(protocol::KeyPage&& page);
+  void list_keys(std::string after);
+  void retry_list(const std::string& after);
+  void restart_list();
+  void add_page(protocol::KeyPage&& page);
   void finish_list();
 
   void publish(std::vector<Change> changes);
-  bool take_revision(const Change& change);
-  void count_write(const std::string& key);
-  void set_aside(const std::string& key, wire::KeyRevision revision, const char* why);
+  bool update_revision(const Change& change);
+  void count_peer_write(const std::string& key);
+  void report_malformed(const std::string& key, wire::KeyRevision revision, const char* reason);
 
   void watch();
-  void heartbeat();
-  bool apply_news(WatchAnswer answer);
+  void poll_if_idle();
+  bool apply_update(WatchResult result);
   void run_barrier();
-  void run_barrier_later(double wait_s);
-  void barrier_over(std::vector<Waiting> served_now, WatchAnswer answer);
+  void schedule_barrier(double wait_s);
+  void finish_barrier(std::vector<PendingBarrier> served, WatchResult result);
 
-  void warn_of_malformed(const std::vector<std::string>& keys, const std::string& reason);
-  void forget_writes(const std::vector<std::string>& keys, Outcome outcome);
+  void log_rejected(const std::vector<std::string>& keys, const std::string& reason);
+  void discard_own_writes(const std::vector<std::string>& keys, Outcome outcome);
 
-  void next_fetch();
-  void next_fetch_later();
-  void fetch(const std::string& key);
-  void fetched(const std::string& key, const KeyResponse& answer);
+  void send_fetches();
+  void schedule_fetches();
+  void send_fetch(const std::string& key);
+  void finish_fetch(const std::string& key, const KeyResponse& response);
 
   net::Client& client_;
   runtime::Log log_;
   std::string address_;
   Limits limits_;
-  net::RateLimit writes_;
+  net::RateLimit write_budget_;
   std::vector<std::function<void(Changes)>> subscribers_;
 
-  std::map<std::string, wire::KeyRevision> known_;
-  std::multiset<std::string> own_;        // keys written from here whose change is still to be seen
-  std::map<std::string, Entry> listing_;  // pages of a list under way
-  wire::StoreRevision listing_epoch_;
-  wire::StoreRevision epoch_;
+  // The revision of every key that exists as of the last update.
+  std::map<std::string, wire::KeyRevision> key_revisions_;
+  // Keys that this controller has written and whose change has not been seen yet.
+  std::multiset<std::string> own_writes_;
+  // The pages received so far of a list in progress.
+  std::map<std::string, Entry> listed_entries_;
+  wire::StoreRevision listing_revision_;
+  // Store revision up to which every change has been published.
+  wire::StoreRevision revision_;
   bool synced_ = false;
-  bool relist_ = false;
-  double last_news_ = -1e9;
+  bool relisting_ = false;
+  double last_update_ = -1e9;
 
-  std::map<std::string, wire::KeyRevision> set_aside_;  // records that cannot be read, told in the log
+  // Malformed records that have been logged, with the newest revision logged.
+  std::map<std::string, wire::KeyRevision> reported_malformed_;
 
-  net::RateLimit fetches_;
-  std::map<std::string, std::vector<decltype(FetchKey::done)>> fetching_;
-  std::deque<std::pair<std::string, double>> to_fetch_;  // with when it is given up
+  net::RateLimit fetch_budget_;
+  std::map<std::string, std::vector<decltype(FetchKey::done)>> fetch_callbacks_;
+  // Keys to be read, each with the steady-clock time after which the read is dropped.
+  std::deque<std::pair<std::string, double>> fetch_queue_;
   runtime::Timer fetch_timer_;
 
-  std::vector<Waiting> waiting_;
-  bool waiting_urgent_ = false;
+  std::vector<PendingBarrier> pending_barriers_;
+  bool barrier_is_urgent_ = false;
   bool barrier_running_ = false;
-  double last_barrier_ = -1e9;
+  double last_barrier_sent_at_ = -1e9;
   runtime::Timer barrier_timer_;
   runtime::Timer watch_timer_;
   runtime::Timer list_timer_;
-  runtime::Timer heartbeat_timer_;
+  runtime::Timer poll_timer_;
 };
 
 }  // namespace bankhill::state
--- a/src/state/store_cache.hpp
+++ b/src/state/store_cache.hpp
@@ -1,4 +1,5 @@
-// A copy of part of the store, kept by applying changes in any order that respects revisions.
+// A local copy of a part of the store, maintained by applying changes. Changes of different keys may be
+// applied in any order, those of one key in the order of their revisions.
 #pragma once
 
 #include <map>
@@ -12,31 +13,31 @@
 
 namespace bankhill::state {
 
-// A key was written or deleted.
+// A write or deletion of a key.
 struct Change {
   std::string key;
-  std::optional<wire::Json> data;  // empty: deleted
+  std::optional<wire::Json> data;  // empty if the key was deleted
   wire::KeyRevision revision;
 };
 
-// In the order in which they were committed.
+// Changes in the order in which they were committed.
 using Changes = std::shared_ptr<const std::vector<Change>>;
 
-// What a key holds.
+// The value of a key and its revision.
 struct Entry {
   wire::Json data;
   wire::KeyRevision revision;
 };
 
-// The keys and their values as of the changes that were applied.
+// The keys and values that result from the changes applied so far.
 class StoreCache {
  public:
-  // False when the change is older than what is known.
+  // Returns false if the key already has the change's revision or a newer one.
   bool apply(const Change& change);
-  // Null: the key does not exist.
+  // Returns null if the key does not exist.
   const Entry* find(const std::string& key) const;
-  wire::KeyRevision revision(const std::string& key) const;  // 0: the key does not exist
-  // All, by key.
+  // Returns 0 if the key does not exist.
+  wire::KeyRevision revision(const std::string& key) const;
   const std::map<std::string, Entry>& entries() const { return entries_; }
 
  private:
--- a/src/state/transaction.hpp
+++ b/src/state/transaction.hpp
@@ -1,4 +1,4 @@
-// Transactions of the state service: writes that are carried out together, if all conditions hold.
+// Transactions of the state service: writes that are applied together if all conditions hold.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace bankhill::state {
 
-// The key must have this revision; 0: it must not exist.
+// Requires the key to have this revision; revision 0 requires that the key does not exist.
 struct Condition {
   std::string key;
   wire::KeyRevision revision;
@@ -20,29 +20,32 @@
 // A new value of a key, or its deletion.
 struct Write {
   std::string key;
-  std::optional<wire::Json> data;         // empty: delete
-  std::optional<std::uint64_t> lease_id;  // the lease with whose end the key is deleted; empty: none
+  // Empty to delete the key.
+  std::optional<wire::Json> data;
+  // The key is deleted when this lease ends; empty for a key without a lease.
+  std::optional<std::uint64_t> lease_id;
 };
 
-// Compare-and-swap on several keys.
+// An atomic compare-and-swap of several keys.
 struct Transaction {
   std::vector<Condition> conditions;
   std::vector<Write> writes;
 };
 
-// What became of a transaction.
+// Result of a transaction.
 enum class Outcome {
   committed,
   conflict,      // a condition failed: nothing was written
   refused,       // not executed
-  rate_limited,  // not executed, since the limits are used up: no other controller would fare better
-  invalid,       // not executed, and it will not be as it is: too large, too many writes, or an ended lease
-  unknown,       // may have been executed, or may still be
+  rate_limited,  // not executed, since the limits are exhausted: a peer would be refused as well
+  invalid,       // not executed, nor if sent again unchanged: too large, too many writes or an ended lease
+  unknown,       // may have been executed, or may yet be executed
 };
 
 struct CommitResult {
   Outcome outcome = Outcome::unknown;
-  wire::StoreRevision revision;  // of the store, with the answer
+  // Revision of the store when the service responded.
+  wire::StoreRevision revision;
 };
 
 }  // namespace bankhill::state
--- a/src/state/write_coalescer.hpp
+++ b/src/state/write_coalescer.hpp
@@ -1,6 +1,6 @@
-// Pending writes of one controller: the wanted value of each key, ordered by urgency and committed in
-// batches, one transaction at a time. The state service counts every put, so a write waits a little for later
-// values of the same key to replace it.
+// Pending writes of one controller: the value to be written to each key, ordered by due time and committed in
+// batches, one transaction at a time. The state service counts every write of a key towards its limit, so a
+// write is delayed a little and replaced if a later value of the same key follows.
 #pragma once
 
 #include <cstddef>
@@ -21,87 +21,94 @@
 
 namespace bankhill::state {
 
-// How long a write may wait for others to join it: what tasks or users wait for goes first, and since what
-// waits longest comes first nothing is starved.
+// How long a write is delayed so that others join its batch. Writes that tasks or users wait for are due
+// first; within a batch the earliest due time comes first, so that no write starves.
 enum class FlushDelay {
-  awaited,   // goes ahead of everything that is due now
+  awaited,   // before all other writes that are due now
   none,      // due at once
-  machines,  // new machines, which take tasks once they are recorded
-  exits,     // tasks that ended
-  removal,   // machines that are gone
-  garbage,   // what nobody reads any more
+  machines,  // new machines, which can take tasks once they are recorded
+  exits,     // tasks that have ended
+  removal,   // machines that have been removed
+  garbage,   // records that are no longer read
 };
 
 using WriteCallback = std::function<void()>;
 
-// The value that a key is to have.
+// A value to be written to a key.
 struct PendingWrite {
-  std::optional<wire::Json> data;        // empty: delete the key
-  std::vector<WriteCallback> callbacks;  // called once the key has this value, or the write is obsolete
-  double due_at = 0;                     // steady clock: until then further changes of the key may join it
+  // Empty to delete the key.
+  std::optional<wire::Json> data;
+  // Called once the key has this value or the write is obsolete.
+  std::vector<WriteCallback> callbacks;
+  // Steady-clock time until which later values of the key may replace this one.
+  double due_at = 0;
 };
 
 enum class WritePreparation {
   ready,
-  withheld,  // not to be written now: its owner took the callbacks and stores the key again later
+  withheld,  // not to be written now: the owner has taken the callbacks and will store the key again
 };
 
-// What the coalescer asks of the owner of the records that it writes.
+// The owner of the records that the coalescer writes.
 class WriteOwner {
  public:
   virtual ~WriteOwner() = default;
 
-  // Whether a transaction may be sent at this moment (invariant 2).
+  // Whether a transaction may be sent now (invariant 2).
   virtual bool can_write() const = 0;
-  // The revision that the key must still have for a write of it to succeed; 0: it must not exist. That of the
-  // term key is the fencing token.
+  // The revision that the key must still have for a write of it to succeed; 0 if it must not exist. The
+  // revision of the term key is the fencing token.
   virtual wire::KeyRevision expected_revision(const std::string& key) const = 0;
-  // Whether nothing may be written to the key any more, because what it records is final.
+  // Whether the key must not be written any more because its record is final.
   virtual bool is_final(const std::string& key) const = 0;
-  // Whether the key holds this value by all that is known now, and that says that it was written.
+  // Whether the key has this value as far as is known, which shows that a write of it was applied.
   virtual bool has_value(const std::string& key, const std::optional<wire::Json>& data) const = 0;
-  // Whether tasks or users wait for this key: it may then use more of the write limit.
+  // Whether tasks or users wait for a write of this key, which may then use more of the write limit.
   virtual bool is_urgent(const std::string& key) const = 0;
-  // Called just before a write joins a batch: renders a record that changed since it was stored, and makes
-  // smaller what exceeds the coalescer's value limit. May store other keys, not this one.
+  // Called just before a write joins a batch. Renders a record that has changed since it was stored, and
+  // shrinks a value that exceeds the coalescer's value limit. May store other keys, but not this one.
   virtual WritePreparation prepare(const std::string& key, PendingWrite& write) = 0;
-  // Takes in a change that was committed; called for each of a batch, before any of its callbacks.
+  // Applies a committed change; called for every write of a batch, before any of the batch's callbacks.
   virtual void apply_committed(const Change& change) = 0;
-  // Called once a committed batch is applied and its callbacks have run.
+  // Called after a committed batch has been applied and its callbacks have run.
   virtual void after_commit() = 0;
 };
 
+// Queues the writes of the leader, which owns it, and sends them in batches.
 class WriteCoalescer {
  public:
   struct Settings {
     double control_interval_s = 3;
+    // Interval between two planning rounds, in seconds.
     double round_s = 15;
-    std::size_t transaction_writes = 16;  // that the state service allows
-    std::size_t value_bytes = 0;          // that the state service allows
+    // Most writes in a transaction that the state service allows.
+    std::size_t transaction_writes = 16;
+    // Largest value that the state service allows, in bytes.
+    std::size_t value_bytes = 0;
   };
   // The operations of the state service that the coalescer uses (state/store.hpp).
   struct Service {
     std::function<void(Commit)> commit;
-    std::function<void(ReadBarrier)> sync;
-    std::function<double()> writes_to_spare;
+    std::function<void(ReadBarrier)> read_barrier;
+    std::function<double()> background_write_budget;
   };
 
   WriteCoalescer(runtime::Loop& loop, Settings settings, Service service, WriteOwner& owner);
 
-  // Wants the key to have this value; a write of the key that is still pending is replaced and its callbacks
-  // are kept.
+  // Queues a write of the key; replaces the value of a pending write of the same key and keeps its callbacks.
   void store(const std::string& key, std::optional<wire::Json> data, FlushDelay delay,
              WriteCallback callback = {});
-  // Sends what is due if no transaction is under way.
+  // Sends the writes that are due, unless a transaction is in flight.
   void flush();
-  // Forgets all pending writes and the transaction under way. The limits learned from refusals are kept.
+  // Discards all pending writes and ignores the transaction in flight. The limits learned from refusals are
+  // kept.
   void clear();
 
   bool contains(const std::string& key) const { return pending_.contains(key); }
   std::size_t size() const { return pending_.size(); }
-  // What a value may take: less than the service's limit once a value was refused.
+  // Largest size of a value, in bytes: less than the service's limit after the service has refused a value.
   std::size_t value_limit() const { return value_limit_; }
-  // Writes in a transaction at the most: fewer for a while once one was refused.
+  // Most writes in a transaction: fewer for some time after the service has refused one.
   std::size_t batch_limit() const { return batch_limit_; }
 
  private:
@@ -109,11 +116,11 @@
   using BatchPtr = std::shared_ptr<Batch>;
 
   double delay_s(FlushDelay delay) const;
-  void flush_soon();
-  void flush_after(double seconds);
-  Transaction take_batch(double now, std::size_t most_writes, Batch& batch);
+  void schedule_flush();
+  void schedule_flush_after(double seconds);
+  Transaction take_batch(double now, std::size_t max_writes, Batch& batch);
   void withhold(const std::string& key);
-  void drop_final(const std::string& key);
+  void discard_final(const std::string& key);
   void send(Transaction transaction, BatchPtr batch, bool urgent);
   void handle_result(const CommitResult& result, const BatchPtr& batch);
   void handle_committed(Batch&& batch, wire::StoreRevision revision);
@@ -129,13 +136,14 @@
   WriteOwner& owner_;
 
   Batch pending_;
-  std::set<std::pair<double, std::string>> due_;  // the keys of pending_ by when they are due
+  std::set<std::pair<double, std::string>> due_;  // the keys of pending_, ordered by due time
   std::size_t value_limit_;
   std::size_t batch_limit_;
   std::size_t commits_since_refusal_ = 0;
-  bool committing_ = false;
+  bool commit_in_flight_ = false;
   bool flush_scheduled_ = false;
-  std::uint64_t generation_ = 0;  // counts clear(): results of transactions from before it are ignored
+  // Number of calls of clear(): the results of transactions sent before the last one are ignored.
+  std::uint64_t generation_ = 0;
   runtime::Timer flush_timer_;
   runtime::Lifetime lifetime_;
 };
--- a/src/storage/completion_bitmaps.hpp
+++ b/src/storage/completion_bitmaps.hpp
@@ -1,4 +1,4 @@
-// Which tasks of live jobs are done, a bit each: chunks of the tasks of many jobs share a key.
+// Records which tasks of live jobs are done, one bit per task. Chunks of tasks of many jobs share a key.
 #pragma once
 
 #include <cstdint>
@@ -13,9 +13,10 @@
 
 namespace bankhill::storage {
 
+// Owned by the leader, which assigns chunks to records and queues writes of records when tasks end.
 class CompletionBitmaps final : private SharedRecords<std::uint64_t, std::monostate, wire::ChunkId> {
  public:
-  // The job if it is live.
+  // Returns the job if it is live, else null.
   using FindLiveJob = std::function<model::Job*(const wire::JobId&)>;
 
   CompletionBitmaps(state::WriteCoalescer& writes, FindLiveJob find_live_job, RecordNumbers& numbers,
@@ -27,16 +28,18 @@
   using SharedRecords::prepare;
   using SharedRecords::store;
 
-  // The record that a key holds; nothing: the key is not one of these records.
+  // Returns the number of the record under this key, or nothing if the key is not one of a completion record.
   static std::optional<std::uint64_t> number_of(const std::string& key);
-  // Whether a record that this leader made under the key holds nothing any more.
+  // Whether the key was that of a record that this leader created in this term and has dropped since.
   bool is_dropped(const std::string& key) const;
 
-  // The record that holds this chunk of the job's tasks, put into one with room if none does yet.
+  // Returns the record that holds this chunk of the job's tasks. A chunk without a record is added to one
+  // that accepts further chunks.
   std::uint64_t ensure_record(model::Job& job, std::uint32_t chunk);
-  // Takes in a chunk that an earlier leader stored in this record.
+  // Adopts a chunk that an earlier leader stored in this record.
   void adopt(std::uint64_t number, model::Job& job, std::uint32_t chunk);
-  // A final job needs no record of its tasks. What is left of it goes when the record is written next.
+  // Removes a final job from its records: its tasks need none. Its stored chunks disappear with the next
+  // write of each record.
   void remove(model::Job& job);
 
  private:
--- a/src/storage/machine_groups.cpp
+++ b/src/storage/machine_groups.cpp
@@ -33,25 +33,26 @@
 }
 
 void MachineGroups::remove(const model::Machine& machine) {
-  // A copy: what drops the group must not change it meanwhile.
+  // Copied, because the machine's own field may change while the group is dropped.
   const std::string name = machine.record_group;
   auto* group = find(name);
   if (group == nullptr) return;
   SharedRecords::remove(*group, machine.id, bytes_of(machine));
-  if (!group->fixed && !group->moving && group->bytes < record_limit()) open(name, *group);
+  if (!group->permanently_closed && !group->move_in_progress && group->bytes < record_limit())
+    mark_open(name, *group);
   store(name, state::FlushDelay::removal);
-  if (!group->moving) drop_if_empty(name);
+  if (!group->move_in_progress) drop_if_empty(name);
 }
 
-void MachineGroups::adopt(const std::string& name, const model::Pool& pool, bool fixed) {
-  auto& group = make(name);
+void MachineGroups::adopt(const std::string& name, const model::Pool& pool, bool permanently_closed) {
+  auto& group = find_or_create(name);
   group.pool = pool;
-  group.fixed = fixed;
+  group.permanently_closed = permanently_closed;
 }
 
 void MachineGroups::adopt_machine(const std::string& name, model::Machine& machine) {
   machine.record_group = name;
-  hold(make(name), machine.id, bytes_of(machine));
+  add_item(find_or_create(name), machine.id, bytes_of(machine));
 }
 
 std::optional<wire::Json> MachineGroups::render(const Record& record) const {
--- a/src/storage/machine_groups.hpp
+++ b/src/storage/machine_groups.hpp
@@ -1,4 +1,4 @@
-// The records of the machines of one leader: machines of one pool share a key.
+// The records of one leader's machines. Machines of the same pool share a key.
 #pragma once
 
 #include <optional>
@@ -10,6 +10,7 @@
 
 namespace bankhill::storage {
 
+// Owned by the leader, which adds, removes and adopts machines.
 class MachineGroups final : private SharedRecords<std::string, model::Pool, wire::MachineId> {
  public:
   MachineGroups(state::WriteCoalescer& writes, model::Fleet& fleet, RecordNumbers& numbers, runtime::Log log)
@@ -19,18 +20,19 @@
   using SharedRecords::prepare;
   using SharedRecords::rewrite;
 
-  // The group that a key records; nothing: the key is not one of a group.
+  // Returns the name of the group under this key, or nothing if the key is not one of a group.
   static std::optional<std::string> name_of(const std::string& key);
-  // Whether a group that this leader made under the key holds nothing any more.
+  // Whether the key was that of a group that this leader created in this term and has dropped since.
   bool is_dropped(const std::string& key) const;
 
-  // Records the machine in a group of its pool with room; the callback follows once that is committed.
+  // Adds the machine to a group of its pool that accepts machines; calls the callback once that is committed.
   void add(model::Machine& machine, state::WriteCallback callback);
   void remove(const model::Machine& machine);
 
-  // Takes in a group that an earlier leader stored. `fixed`: of version 0.1, which wrote one machine to a
-  // key.
-  void adopt(const std::string& name, const model::Pool& pool, bool fixed);
+  // Adopts a group that an earlier leader stored. `permanently_closed`: whether version 0.1 wrote it, which
+  // stored one machine per key.
+  void adopt(const std::string& name, const model::Pool& pool, bool permanently_closed);
+  // Adopts a machine that an earlier leader stored in this group.
   void adopt_machine(const std::string& name, model::Machine& machine);
 
  private:
--- a/src/storage/shared_records.hpp
+++ b/src/storage/shared_records.hpp
@@ -1,5 +1,6 @@
-// Records of the state service that hold many items each, since the service counts every put. A record is
-// rendered when it is written; one that has outgrown the value limit moves a part of its items to others.
+// Records of the state service that hold many items each, since the service counts every write of a key. A
+// record is rendered when it is written. If it exceeds the value limit, some of its items move to other
+// records.
 #pragma once
 
 #include <algorithm>
@@ -18,7 +19,8 @@
 
 namespace bankhill::storage {
 
-// Name: what tells a record apart, part of its key. Pool: what items of one record have in common.
+// Base class of the records of machines and of completed tasks. Name: the identifier of a record, a part of
+// its key. Pool: the property that all items of a record share.
 template <class Name, class Pool, class Item>
 class SharedRecords {
  public:
@@ -30,44 +32,48 @@
     records_.clear();
     open_.clear();
   }
-  // Has the record written as it is by then; the callback follows once it is.
+  // Queues a write of the record, rendered when it is written; calls the callback once that is committed.
   void store(const Name& name, state::FlushDelay delay, state::WriteCallback&& callback = {}) {
     writes_.store(key(name), std::nullopt, delay, std::move(callback));
   }
-  // Writes a record again of which some items were found in another when it was adopted.
+  // Queues a write of an adopted record, some of whose items were found in another record too.
   void rewrite(const Name& name) {
     drop_if_empty(name);
     store(name, state::FlushDelay::garbage);
   }
-  // Renders the record for its write (state::WriteOwner::prepare).
+  // Renders the record to be written (see state::WriteOwner::prepare).
   state::WritePreparation prepare(const Name& name, state::PendingWrite& write);
 
  protected:
   struct Record {
     Pool pool;
     std::set<Item> items;
-    std::size_t bytes = 0;  // that its items take at the most
-    bool fixed = false;     // takes no further items, though it has room
-    // A part of it is being written under other keys: until that is committed this one is not written.
-    bool moving = false;
-    std::vector<state::WriteCallback> withheld;  // wait for its next write
+    // Upper bound of the size of its items, in bytes.
+    std::size_t bytes = 0;
+    // Whether the record never takes further items, even if there is space for them.
+    bool permanently_closed = false;
+    // Whether some items are being written to other records. This record is not written until these are
+    // committed.
+    bool move_in_progress = false;
+    // Callbacks to be called after the record's next write.
+    std::vector<state::WriteCallback> withheld_callbacks;
   };
 
   SharedRecords(state::WriteCoalescer& writes, runtime::Log log) : writes_(writes), log_(std::move(log)) {}
   ~SharedRecords() = default;
 
-  // What a record may grow to.
+  // Largest size of a record, in bytes.
   std::size_t record_limit() const {
-    const auto part = static_cast<double>(writes_.value_limit()) * kPartOfValue;
-    return std::min(kMostBytes, static_cast<std::size_t>(part));
+    const auto share_bytes = static_cast<double>(writes_.value_limit()) * kValueLimitShare;
+    return std::min(kMaxRecordBytes, static_cast<std::size_t>(share_bytes));
   }
   Record* find(const Name& name) {
     const auto found = records_.find(name);
     return found == records_.end() ? nullptr : &found->second;
   }
-  // The record, made if it is not there yet. It is not open to further items.
-  Record& make(const Name& name) { return records_[name]; }
-  void hold(Record& record, const Item& item, std::size_t bytes) {
+  // Returns the record and creates it if it does not exist. A new record is not open to further items.
+  Record& find_or_create(const Name& name) { return records_[name]; }
+  void add_item(Record& record, const Item& item, std::size_t bytes) {
     record.items.insert(item);
     record.bytes += bytes;
   }
@@ -75,26 +81,28 @@
     record.items.erase(item);
     record.bytes -= std::min(record.bytes, bytes);
   }
-  // Puts the item into a record of the pool that has room.
+  // Adds the item to an open record of the pool, or to a new one if none is open. Returns the record's name.
   Name add(const Pool& pool, const Item& item, std::size_t bytes);
-  // Lets the record take further items.
-  void open(const Name& name, const Record& record) { open_[record.pool].insert(name); }
-  // A record that holds nothing any more is forgotten; its next write deletes it.
+  // Opens the record to further items.
+  void mark_open(const Name& name, const Record& record) { open_[record.pool].insert(name); }
+  // Drops the record if it has no items; the next write of its key deletes it. Returns whether it was
+  // dropped.
   bool drop_if_empty(const Name& name);
 
   virtual std::string key(const Name& name) const = 0;
   virtual Name new_name() = 0;
-  // The value to store; nothing: delete the key.
+  // Returns the value to be stored, or nothing if the key is to be deleted.
   virtual std::optional<wire::Json> render(const Record& record) const = 0;
-  // What the item takes; nothing: it is not to be stored any more.
+  // Returns the item's size in bytes, or nothing if the item is not to be stored any more.
   virtual std::optional<std::size_t> item_bytes(const Item& item) const = 0;
-  // Puts the item into another record if `from` is where it belongs. Returns which.
+  // Adds the item to another record if it belongs to `from`. Returns the other record's name.
   virtual std::optional<Name> relocate(const Item& item, const Name& from) = 0;
 
  private:
-  // Of the value limit, or of what a transaction holds if that is less.
-  static constexpr double kPartOfValue = 0.5;
-  static constexpr std::size_t kMostBytes = 4096;
+  // Largest size of a record, as a share of the value limit.
+  static constexpr double kValueLimitShare = 0.5;
+  // Largest size of a record, in bytes, if the value limit allows more: limited by what a transaction holds.
+  static constexpr std::size_t kMaxRecordBytes = 4096;
 
   bool move_excess(const Name& name, Record& record, state::PendingWrite& write);
   std::vector<Item> items_beyond_limit(const Record& record) const;
@@ -103,20 +111,20 @@
   state::WriteCoalescer& writes_;
   runtime::Log log_;
   std::map<Name, Record> records_;
-  std::map<Pool, std::set<Name>> open_;  // records with room
+  std::map<Pool, std::set<Name>> open_;  // records that accept further items
 };
 
 template <class Name, class Pool, class Item>
 Name SharedRecords<Name, Pool, Item>::add(const Pool& pool, const Item& item, std::size_t bytes) {
   auto& open_records = open_[pool];
   if (open_records.empty()) {
-    const Name fresh = new_name();
-    make(fresh).pool = pool;
-    open_records.insert(fresh);
+    const Name created_name = new_name();
+    find_or_create(created_name).pool = pool;
+    open_records.insert(created_name);
   }
   Name name = *open_records.begin();
   auto& record = records_.at(name);
-  hold(record, item, bytes);
+  add_item(record, item, bytes);
   if (record.bytes + bytes > record_limit()) open_records.erase(name);
   return name;
 }
@@ -139,8 +147,8 @@
     return state::WritePreparation::ready;
   }
   write.data = render(*record);
-  if (record->moving) {
-    std::move(write.callbacks.begin(), write.callbacks.end(), std::back_inserter(record->withheld));
+  if (record->move_in_progress) {
+    std::move(write.callbacks.begin(), write.callbacks.end(), std::back_inserter(record->withheld_callbacks));
     return state::WritePreparation::withheld;
   }
   const bool fits = !write.data || wire::stored_bytes(*write.data) <= writes_.value_limit();
@@ -148,56 +156,56 @@
   return state::WritePreparation::withheld;
 }
 
-// Moves what a record holds too much to others. Those are written first: a leader that finds an item in two
-// records takes it once, one that finds it in none would not know of it (invariant 4).
+// Moves the items beyond the size limit to other records, which are written first: a leader that finds an
+// item in two records adopts it once, but one that finds it in none would not know of it (invariant 4).
 template <class Name, class Pool, class Item>
 bool SharedRecords<Name, Pool, Item>::move_excess(const Name& name, Record& record,
                                                   state::PendingWrite& write) {
   open_[record.pool].erase(name);
-  const auto excess = items_beyond_limit(record);
+  const auto excess_items = items_beyond_limit(record);
   std::set<Name> targets;
-  for (const auto& item : excess)
+  for (const auto& item : excess_items)
     if (const auto target = relocate(item, name)) targets.insert(*target);
   if (targets.empty()) return false;
   log_->info("state: {} is larger than a value may be now, moving a part of it to {} others", key(name),
              targets.size());
-  record.moving = true;
-  record.withheld = std::move(write.callbacks);
-  const auto unwritten = std::make_shared<std::size_t>(targets.size());
-  const auto written = [this, name, excess, unwritten] {
-    if (--*unwritten == 0) finish_move(name, excess);
+  record.move_in_progress = true;
+  record.withheld_callbacks = std::move(write.callbacks);
+  const auto pending_targets = std::make_shared<std::size_t>(targets.size());
+  const auto on_target_committed = [this, name, excess_items, pending_targets] {
+    if (--*pending_targets == 0) finish_move(name, excess_items);
   };
-  for (const auto& target : targets) store(target, state::FlushDelay::none, written);
+  for (const auto& target : targets) store(target, state::FlushDelay::none, on_target_committed);
   return true;
 }
 
 template <class Name, class Pool, class Item>
 std::vector<Item> SharedRecords<Name, Pool, Item>::items_beyond_limit(const Record& record) const {
-  std::vector<Item> excess;
+  std::vector<Item> excess_items;
   std::size_t kept_bytes = 0;
   for (const auto& item : record.items) {
     const auto bytes = item_bytes(item);
     if (bytes && kept_bytes + *bytes <= record_limit())
       kept_bytes += *bytes;
     else
-      excess.push_back(item);
+      excess_items.push_back(item);
   }
-  return excess;
+  return excess_items;
 }
 
-// Called once all records that took the moved items are committed.
+// Called once all records to which items moved are committed.
 template <class Name, class Pool, class Item>
 void SharedRecords<Name, Pool, Item>::finish_move(const Name& name, const std::vector<Item>& moved) {
   auto* record = find(name);
   if (record == nullptr) return;
-  record->moving = false;
+  record->move_in_progress = false;
   for (const auto& item : moved) record->items.erase(item);
   record->bytes = 0;
   for (const auto& item : record->items) record->bytes += item_bytes(item).value_or(0);
-  const auto withheld = std::exchange(record->withheld, {});
+  const auto withheld_callbacks = std::exchange(record->withheld_callbacks, {});
   drop_if_empty(name);
-  store(name, state::FlushDelay::none, [withheld] {
-    for (const auto& callback : withheld) callback();
+  store(name, state::FlushDelay::none, [withheld_callbacks] {
+    for (const auto& callback : withheld_callbacks) callback();
   });
 }
 
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -1,4 +1,4 @@
-// Records that many machines or tasks share, over a write coalescer and nothing else.
+// Tests of the records that many machines or tasks share, with only a write coalescer below them.
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
@@ -20,31 +20,31 @@
  protected:
   StorageTest() { numbers.begin_term(kTerm); }
 
-  // Lets every delay pass and answers what is sent, until nothing is left to send.
+  // Advances the time beyond every flush delay and commits transactions until no more are sent.
   void commit_all() {
     loop.pass(kIntervalS);
-    while (answered < commits.size()) commit_next();
+    while (answered_count < commits.size()) commit_next();
   }
-  // Answers the transaction under way; the changes show in `stored`.
+  // Commits the transaction in flight; its changes are applied to `stored`.
   void commit_next() {
-    ASSERT_LT(answered, commits.size());
-    const auto commit = commits[answered++];
+    ASSERT_LT(answered_count, commits.size());
+    const auto commit = commits[answered_count++];
     commit.done({Outcome::committed, wire::StoreRevision{++revision}});
     loop.pass(kIntervalS);
   }
   std::vector<std::string> keys_of_next() const {
     std::vector<std::string> keys;
-    for (const auto& write : commits.at(answered).transaction.writes) keys.push_back(write.key);
+    for (const auto& write : commits.at(answered_count).transaction.writes) keys.push_back(write.key);
     return keys;
   }
-  // Refuses a large write alone, so that values may take less from then on.
+  // Refuses a large write that is alone in its transaction, which lowers the limit on the size of values.
   void shrink_value_limit() {
     const std::string key = "/test/large";
     writes.store(key, Json(std::string(kValueBytes / 3, 'x')), state::FlushDelay::awaited);
     loop.pass(0);
     ASSERT_EQ(keys_of_next(), std::vector<std::string>{key});
-    const auto refused = commits[answered++];
-    refused.done({Outcome::invalid, {}});
+    const auto refused_commit = commits[answered_count++];
+    refused_commit.done({Outcome::invalid, {}});
     writes.store(key, std::nullopt, state::FlushDelay::awaited);
     loop.pass(0);
     commit_all();
@@ -54,18 +54,18 @@
   static constexpr double kIntervalS = 3;
 
   model::Machine& machine(const std::string& name, const std::string& zone = "a") {
-    auto& made = *fleet.add({name}).first;
-    made.address = "10.0.0.1:9000";
-    made.machine_type = "g8";
-    made.zone = zone;
-    return made;
+    auto& created = *fleet.add({name}).first;
+    created.address = "10.0.0.1:9000";
+    created.machine_type = "g8";
+    created.zone = zone;
+    return created;
   }
   model::Job& job(const std::string& name, std::uint32_t tasks) {
-    auto& made = jobs[wire::JobId{name}];
-    made.spec.id = wire::JobId{name};
-    made.spec.task_count = tasks;
-    made.reset_task_progress();
-    return made;
+    auto& created = jobs[wire::JobId{name}];
+    created.spec.id = wire::JobId{name};
+    created.spec.task_count = tasks;
+    created.reset_task_progress();
+    return created;
   }
   std::set<std::string> stored_machines(const std::string& group) const {
     std::set<std::string> machines;
@@ -80,14 +80,14 @@
     return entry == nullptr ? wire::CompletionBucket{}
                             : wire::parse_completion_bucket(std::to_string(number), entry->data);
   }
-  state::WriteCallback count(int& calls) {
-    return [&calls] { ++calls; };
+  state::WriteCallback count_calls(int& call_count) {
+    return [&call_count] { ++call_count; };
   }
 
   test_support::ManualLoop loop;
   state::StoreCache stored;
   std::vector<Commit> commits;
-  std::size_t answered = 0;
+  std::size_t answered_count = 0;
   std::uint64_t revision = 100;
   model::Fleet fleet;
   std::map<wire::JobId, model::Job> jobs;
@@ -121,7 +121,7 @@
   void after_commit() override {}
 };
 
-TEST_F(StorageTest, RecordNumbersTellTermsApart) {
+TEST_F(StorageTest, RecordNumbersAreUniqueAcrossTerms) {
   const auto number = numbers.next();
   EXPECT_EQ(RecordNumbers::term_of(number), kTerm);
   EXPECT_EQ(numbers.next(), number + 1);
@@ -132,9 +132,9 @@
 
 TEST_F(StorageTest, MachinesOfOnePoolShareARecord) {
   int recorded = 0;
-  groups.add(machine("m1"), count(recorded));
-  groups.add(machine("m2"), count(recorded));
-  groups.add(machine("other-zone", "b"), count(recorded));
+  groups.add(machine("m1"), count_calls(recorded));
+  groups.add(machine("m2"), count_calls(recorded));
+  groups.add(machine("other-zone", "b"), count_calls(recorded));
   EXPECT_EQ(fleet.find({"m1"})->record_group, fleet.find({"m2"})->record_group);
   EXPECT_NE(fleet.find({"m1"})->record_group, fleet.find({"other-zone"})->record_group);
   EXPECT_EQ(recorded, 0);
@@ -145,16 +145,16 @@
   EXPECT_EQ(stored_machines("7-2"), std::set<std::string>{"other-zone"});
 }
 
-TEST_F(StorageTest, AFullRecordTakesNoMoreMachines) {
+TEST_F(StorageTest, AFullRecordAcceptsNoMoreMachines) {
   const auto bytes = wire::group_bytes({"m100"}, "10.0.0.1:9000");
-  const auto fitting = kValueBytes / 2 / bytes;
-  for (std::size_t i = 0; i <= fitting; ++i) groups.add(machine(fmt::format("m{}", 100 + i)), {});
+  const auto fitting_count = kValueBytes / 2 / bytes;
+  for (std::size_t i = 0; i <= fitting_count; ++i) groups.add(machine(fmt::format("m{}", 100 + i)), {});
   commit_all();
-  EXPECT_EQ(stored_machines("7-1").size(), fitting);
+  EXPECT_EQ(stored_machines("7-1").size(), fitting_count);
   EXPECT_EQ(stored_machines("7-2").size(), 1U);
 }
 
-TEST_F(StorageTest, AMachineThatIsRemovedLeavesItsRecordAndTheLastOneDeletesIt) {
+TEST_F(StorageTest, RemovingTheLastMachineOfARecordDeletesIt) {
   for (const auto* name : {"m1", "m2"}) groups.add(machine(name), {});
   commit_all();
   groups.remove(*fleet.find({"m1"}));
@@ -171,7 +171,7 @@
   EXPECT_EQ(stored.find(wire::machine_group_key("7-1")), nullptr);
 }
 
-TEST_F(StorageTest, AnAdoptedRecordTakesMachinesOnceOneLeftUnlessItIsFixed) {
+TEST_F(StorageTest, AnAdoptedRecordAcceptsMachinesAfterARemovalUnlessClosed) {
   const model::Pool pool{"g8", "a", false};
   groups.adopt("6-1", pool, false);
   groups.adopt("m9", pool, true);
@@ -191,7 +191,7 @@
   EXPECT_EQ(stored_machines("6-1"), (std::set<std::string>{"m2", "m3"}));
 }
 
-TEST_F(StorageTest, MachinesBeyondASmallerLimitAreWrittenElsewhereBeforeTheyLeave) {
+TEST_F(StorageTest, MachinesBeyondALoweredLimitAreWrittenToNewRecordsFirst) {
   std::set<std::string> all;
   for (int i = 100; i < 140; ++i) {
     groups.add(machine(fmt::format("m{}", i)), {});
@@ -201,14 +201,15 @@
   ASSERT_EQ(stored_machines("7-1"), all);
   shrink_value_limit();
 
-  int removed = 0;
+  int removal_callbacks = 0;
   all.erase("m100");
   groups.remove(*fleet.find({"m100"}));
   fleet.erase({"m100"});
   loop.pass(kIntervalS);
-  writes.store(wire::machine_group_key("7-1"), std::nullopt, state::FlushDelay::none, count(removed));
-  // What moves is written under other keys, one a transaction since the refusal. The record itself is
-  // withheld until the last of them is committed.
+  writes.store(wire::machine_group_key("7-1"), std::nullopt, state::FlushDelay::none,
+               count_calls(removal_callbacks));
+  // The machines that move are written under other keys, one key per transaction since the refusal. The
+  // record itself is withheld until the last of these transactions is committed.
   std::set<std::string> moved;
   ASSERT_EQ(writes.batch_limit(), 1U);
   ASSERT_NE(keys_of_next().front(), wire::machine_group_key("7-1"));
@@ -216,20 +217,21 @@
     const auto group = MachineGroups::name_of(keys_of_next().front());
     commit_next();
     moved.merge(stored_machines(*group));
-    EXPECT_EQ(removed, 0);
+    EXPECT_EQ(removal_callbacks, 0);
     EXPECT_EQ(stored_machines("7-1").size(), 40U);
-    ASSERT_LT(answered, commits.size());
+    ASSERT_LT(answered_count, commits.size());
   }
   ASSERT_FALSE(moved.empty());
 
   commit_all();
-  EXPECT_EQ(removed, 1);
-  const auto left = stored_machines("7-1");
-  std::set<std::string> together = moved;
-  for (const auto& name : left) EXPECT_TRUE(together.insert(name).second) << name << " is recorded twice";
-  for (const auto& name : all) EXPECT_TRUE(together.contains(name)) << name << " is not recorded";
-  EXPECT_EQ(together.size(), all.size());
-  for (const auto& name : left) EXPECT_EQ(fleet.find({name})->record_group, "7-1");
+  EXPECT_EQ(removal_callbacks, 1);
+  const auto remaining = stored_machines("7-1");
+  std::set<std::string> recorded_machines = moved;
+  for (const auto& name : remaining)
+    EXPECT_TRUE(recorded_machines.insert(name).second) << name << " is recorded twice";
+  for (const auto& name : all) EXPECT_TRUE(recorded_machines.contains(name)) << name << " is not recorded";
+  EXPECT_EQ(recorded_machines.size(), all.size());
+  for (const auto& name : remaining) EXPECT_EQ(fleet.find({name})->record_group, "7-1");
   for (const auto& name : moved) EXPECT_NE(fleet.find({name})->record_group, "7-1");
   EXPECT_LE(wire::stored_bytes(stored.find(wire::machine_group_key("7-1"))->data), writes.value_limit());
 }
@@ -243,11 +245,11 @@
   EXPECT_EQ(bitmaps.ensure_record(first, 0), number);
   EXPECT_EQ(bitmaps.ensure_record(second, 1), number);
   EXPECT_EQ(RecordNumbers::term_of(number), kTerm);
-  int calls = 0;
-  bitmaps.store(number, state::FlushDelay::exits, count(calls));
-  first.set_task_progress(3, model::kTaskDone);  // rendered when it is written
+  int call_count = 0;
+  bitmaps.store(number, state::FlushDelay::exits, count_calls(call_count));
+  first.set_task_progress(3, model::kTaskDone);  // included, since records are rendered when they are written
   commit_all();
-  EXPECT_EQ(calls, 1);
+  EXPECT_EQ(call_count, 1);
   const auto chunks = stored_chunks(number);
   ASSERT_EQ(chunks.size(), 2U);
   EXPECT_EQ(wire::parse_completion_hex(chunks.at({wire::JobId{"job-1"}, 0}), 0),
@@ -256,7 +258,7 @@
             std::vector<std::uint32_t>{wire::kCompletionChunkTasks});
 }
 
-TEST_F(StorageTest, AFinalJobLeavesItsRecordsAndTheLastOneDeletesThem) {
+TEST_F(StorageTest, RemovingTheLastJobOfARecordDeletesIt) {
   auto& first = job("job-1", 10);
   auto& second = job("job-2", 10);
   const auto number = bitmaps.ensure_record(first, 0);
@@ -275,17 +277,17 @@
   EXPECT_EQ(stored.find(wire::completion_key(number)), nullptr);
 }
 
-TEST_F(StorageTest, AnAdoptedChunkStaysWhereItWas) {
+TEST_F(StorageTest, AnAdoptedChunkStaysInItsRecord) {
   auto& adopted = job("job-1", 10);
-  const std::uint64_t earlier = (6U << 20) + 3;
-  bitmaps.adopt(earlier, adopted, 0);
-  EXPECT_TRUE(bitmaps.contains(earlier));
-  EXPECT_EQ(bitmaps.ensure_record(adopted, 0), earlier);
-  EXPECT_FALSE(bitmaps.is_dropped(wire::completion_key(earlier)));
+  const std::uint64_t earlier_number = (6U << 20) + 3;
+  bitmaps.adopt(earlier_number, adopted, 0);
+  EXPECT_TRUE(bitmaps.contains(earlier_number));
+  EXPECT_EQ(bitmaps.ensure_record(adopted, 0), earlier_number);
+  EXPECT_FALSE(bitmaps.is_dropped(wire::completion_key(earlier_number)));
   EXPECT_FALSE(bitmaps.is_dropped(wire::kCompletionKeyPrefix + "not-a-number"));
 }
 
-TEST_F(StorageTest, KeysOfOtherRecordsAndOfTheFirstVersionAreNotTheirs) {
+TEST_F(StorageTest, RejectsKeysOfOtherRecordsAndOfTheFirstVersion) {
   EXPECT_FALSE(MachineGroups::name_of(wire::kJobKeyPrefix + "job-1"));
   EXPECT_EQ(MachineGroups::name_of(wire::machine_group_key("7-1")), "7-1");
   EXPECT_FALSE(CompletionBitmaps::number_of(wire::kJobKeyPrefix + "job-1"));
@@ -293,53 +295,53 @@
   EXPECT_EQ(CompletionBitmaps::number_of(wire::completion_key(12)), 12U);
 }
 
-TEST_F(StorageTest, ChunksBeyondASmallerLimitAreWrittenElsewhereBeforeTheyLeave) {
+TEST_F(StorageTest, ChunksBeyondALoweredLimitAreWrittenToNewRecordsFirst) {
   constexpr std::uint32_t kDoneTask = 5;
-  std::vector<model::Job*> live;
+  std::vector<model::Job*> live_jobs;
   std::uint64_t number = 0;
   for (int i = 0; i < 8; ++i) {
-    auto& made = job(fmt::format("job-{}", i), 600);
-    made.set_task_progress(kDoneTask, model::kTaskDone);
-    number = bitmaps.ensure_record(made, 0);
-    live.push_back(&made);
+    auto& created = job(fmt::format("job-{}", i), 600);
+    created.set_task_progress(kDoneTask, model::kTaskDone);
+    number = bitmaps.ensure_record(created, 0);
+    live_jobs.push_back(&created);
   }
-  auto& ended = job("job-9", 600);
-  ASSERT_EQ(bitmaps.ensure_record(ended, 0), number);
+  auto& final_job = job("job-9", 600);
+  ASSERT_EQ(bitmaps.ensure_record(final_job, 0), number);
   bitmaps.store(number, state::FlushDelay::exits);
   commit_all();
   ASSERT_EQ(stored_chunks(number).size(), 9U);
   shrink_value_limit();
 
-  ended.state = wire::JobState::done;  // takes no room elsewhere
-  int calls = 0;
-  bitmaps.store(number, state::FlushDelay::exits, count(calls));
+  final_job.state = wire::JobState::done;  // its chunk is not moved to another record
+  int call_count = 0;
+  bitmaps.store(number, state::FlushDelay::exits, count_calls(call_count));
   loop.pass(kIntervalS);
-  // What moves is written under other keys, the record itself is withheld meanwhile.
+  // The chunks that move are written under other keys; the record itself is withheld in the meantime.
   const auto targets = keys_of_next();
   ASSERT_FALSE(targets.empty());
   for (const auto& key : targets) EXPECT_NE(key, wire::completion_key(number));
   commit_next();
-  EXPECT_EQ(calls, 0);
+  EXPECT_EQ(call_count, 0);
   EXPECT_EQ(stored_chunks(number).size(), 9U);
 
   commit_all();
-  EXPECT_EQ(calls, 1);
+  EXPECT_EQ(call_count, 1);
   std::size_t moved = 0;
-  for (const auto* each : live) {
-    const wire::ChunkId id{each->spec.id, 0};
-    const auto home = each->completion_buckets.at(0);
-    const auto chunks = stored_chunks(home);
+  for (const auto* live_job : live_jobs) {
+    const wire::ChunkId id{live_job->spec.id, 0};
+    const auto assigned = live_job->completion_buckets.at(0);
+    const auto chunks = stored_chunks(assigned);
     ASSERT_TRUE(chunks.contains(id));
     EXPECT_EQ(wire::parse_completion_hex(chunks.at(id), 0), std::vector<std::uint32_t>{kDoneTask});
-    EXPECT_EQ(stored_chunks(number).contains(id), home == number);
-    if (home != number) ++moved;
+    EXPECT_EQ(stored_chunks(number).contains(id), assigned == number);
+    if (assigned != number) ++moved;
   }
   EXPECT_GT(moved, 0U);
-  EXPECT_LT(moved, live.size());
-  EXPECT_FALSE(stored_chunks(number).contains({ended.spec.id, 0}));
+  EXPECT_LT(moved, live_jobs.size());
+  EXPECT_FALSE(stored_chunks(number).contains({final_job.spec.id, 0}));
 }
 
-TEST_F(StorageTest, AMoveThatIsUnderWayWhenTheTermEndsIsForgotten) {
+TEST_F(StorageTest, AMoveInProgressIsDiscardedWhenTheTermEnds) {
   for (int i = 100; i < 140; ++i) groups.add(machine(fmt::format("m{}", i)), {});
   commit_all();
   shrink_value_limit();
@@ -348,10 +350,10 @@
   loop.pass(kIntervalS);
   groups.clear();
   writes.clear();
-  const auto late = commits[answered++];
-  late.done({Outcome::committed, wire::StoreRevision{++revision}});
+  const auto late_commit = commits[answered_count++];
+  late_commit.done({Outcome::committed, wire::StoreRevision{++revision}});
   loop.pass(kIntervalS);
-  EXPECT_EQ(answered, commits.size());
+  EXPECT_EQ(answered_count, commits.size());
   EXPECT_EQ(writes.size(), 0U);
 }
 
