--- a/src/election/elector.cpp
+++ b/src/election/elector.cpp
@@ -74,7 +74,7 @@
 }
 
 void Elector::on_lease_lost() {
-  log_->warn("election: lost the leadership");
+  log_->warn("election: the leader lease is lost, this controller no longer leads");
   lease_id_ = 0;
   vacant_since_ = -1;  // the time before this controller's own term does not count
   renew_timer_.reset();
@@ -99,7 +99,7 @@
   // The leader is an earlier incarnation of this controller. It has ended, since two never run at once, so
   // its lease is revoked rather than left to expire.
   if (record->node == node_ && record->incarnation != incarnation_) {
-    log_->info("election: ending the lease of our earlier incarnation");
+    log_->info("election: revoking the leader lease of an earlier incarnation of this controller");
     store_.tell(state::RevokeLease{record->lease_id});
   }
 }
@@ -142,19 +142,19 @@
   transaction.writes = {
       {wire::kTermKey, next_term(), std::nullopt},
       {wire::kLeaderKey, to_json(wire::LeaderRecord{node_, incarnation_, lease_id}), lease_id}};
-  store_.tell(
-      state::Commit{std::move(transaction), guard([this, lease_id, is_retry](state::CommitResult result) {
-                      if (lease_id_ != lease_id) return;
-                      claim_unconfirmed_ = result.outcome != Outcome::committed;
-                      if (!is_retry && claim_unconfirmed_ && result.outcome != Outcome::unknown) {
-                        log_->debug("election: another controller was first");
-                        store_.tell(state::RevokeLease{lease_id});
-                        lease_id_ = 0;
-                        renew_timer_.reset();
-                      }
-                      // The watch shows whether a transaction without a response was applied.
-                      store_.tell(state::ReadBarrier{[](bool) {}, true});
-                    })});
+  store_.tell(state::Commit{
+      std::move(transaction), guard([this, lease_id, is_retry](state::CommitResult result) {
+        if (lease_id_ != lease_id) return;
+        claim_unconfirmed_ = result.outcome != Outcome::committed;
+        if (!is_retry && claim_unconfirmed_ && result.outcome != Outcome::unknown) {
+          log_->debug("election: the claim of the leadership was not committed, revoking its lease");
+          store_.tell(state::RevokeLease{lease_id});
+          lease_id_ = 0;
+          renew_timer_.reset();
+        }
+        // The watch shows whether a transaction without a response was applied.
+        store_.tell(state::ReadBarrier{[](bool) {}, true});
+      })});
 }
 
 void Elector::renew() {
@@ -181,7 +181,7 @@
 
 void Elector::on(Resign&) {
   if (!is_leading()) return;
-  log_->warn("election: giving the leadership up to a sibling");
+  log_->warn("election: resigning the leadership so that a peer can take over");
   abstain_until_ = loop().now() + kAbstainTtls * timing_.ttl_s;
   store_.tell(state::RevokeLease{lease_id_});
   on_lease_lost();
--- a/src/state/store.cpp
+++ b/src/state/store.cpp
@@ -116,7 +116,7 @@
   synced_ = true;
   relisting_ = false;
   last_update_ = loop().now();
-  log_->info("state: read all keys at epoch {}", revision_.value);
+  log_->info("state: listed all keys at store revision {}", revision_.value);
   watch();
 }
 
@@ -167,7 +167,7 @@
 
 void Store::restart_list() {
   if (std::exchange(relisting_, true)) return;
-  log_->info("state: the watch is too far behind, reading all keys");
+  log_->info("state: the service no longer keeps the changes that the watch requested, listing all keys");
   list_keys("");
 }
 
@@ -241,7 +241,7 @@
   auto& reported_revision = reported_malformed_[key];
   if (reported_revision >= revision) return;
   reported_revision = revision;
-  log_->error("state: {} cannot be read ({}): it is set aside, all else goes on", key, reason);
+  log_->error("state: record {} is malformed ({}), ignoring it", key, reason);
 }
 
 void Store::on(Commit& message) {
@@ -264,7 +264,7 @@
 }
 
 void Store::log_rejected(const std::vector<std::string>& keys, const std::string& reason) {
-  log_->warn("state: transaction of {} writes ({}{}) refused as malformed: {}", keys.size(),
+  log_->warn("state: the service refused a transaction of {} writes ({}{}) as malformed: {}", keys.size(),
              keys.empty() ? "" : keys.front(), keys.size() > 1 ? ", ..." : "", reason);
 }
 
--- a/src/storage/shared_records.hpp
+++ b/src/storage/shared_records.hpp
@@ -167,7 +167,7 @@
   for (const auto& item : excess_items)
     if (const auto target = relocate(item, name)) targets.insert(*target);
   if (targets.empty()) return false;
-  log_->info("state: {} is larger than a value may be now, moving a part of it to {} others", key(name),
+  log_->info("state: record {} exceeds the value limit, moving items to {} other records", key(name),
              targets.size());
   record.move_in_progress = true;
   record.withheld_callbacks = std::move(write.callbacks);
--- a/tests/state_protocol_test.cpp
+++ b/tests/state_protocol_test.cpp
@@ -58,7 +58,7 @@
   EXPECT_EQ(outcome(400), Outcome::invalid);
   EXPECT_EQ(outcome(429), Outcome::rate_limited);
   EXPECT_EQ(outcome(500), Outcome::refused);
-  EXPECT_EQ(outcome(0), Outcome::unknown) << "no answer: it may have been carried out";
+  EXPECT_EQ(outcome(0), Outcome::unknown) << "without a response the transaction may have been executed";
   EXPECT_EQ(parse_commit(response(409, R"({"epoch":5,"failed":["a"]})")).revision, StoreRevision{5});
   EXPECT_EQ(parse_commit(response(200, "no JSON")).outcome, Outcome::committed);
   EXPECT_EQ(parse_commit(response(200, "no JSON")).revision, StoreRevision{0});
@@ -80,7 +80,8 @@
   const auto last = std::get<KeyPage>(parse_list(response(200, R"({"items":[]})"), false));
   EXPECT_FALSE(last.has_next);
   EXPECT_TRUE(last.entries.empty());
-  EXPECT_THROW(parse_list(response(200, R"({"items":[]})"), true), wire::ProtocolError) << "as new as what?";
+  EXPECT_THROW(parse_list(response(200, R"({"items":[]})"), true), wire::ProtocolError)
+      << "the first page must have a store revision";
 }
 
 TEST(StateProtocol, ParsesWatchUpdates) {
@@ -88,7 +89,7 @@
                                             R"({"write":"b","data":2,"stamp":8},{"delete":"a","stamp":9}]})");
   const auto update = std::get<WatchUpdate>(parse_watch(watch_response, StoreRevision{7}));
   EXPECT_EQ(update.revision, StoreRevision{9});
-  ASSERT_EQ(update.changes.size(), 2U) << "what is known is left out";
+  ASSERT_EQ(update.changes.size(), 2U) << "changes up to the known revision are omitted";
   EXPECT_EQ(update.changes[0].key, "b");
   EXPECT_EQ(update.changes[0].data, Json(2));
   EXPECT_EQ(update.changes[0].revision, KeyRevision{8});
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -166,7 +166,8 @@
   groups.remove(*fleet.find({"m2"}));
   fleet.erase({"m2"});
   EXPECT_TRUE(groups.is_dropped(wire::machine_group_key("7-1")));
-  EXPECT_FALSE(groups.is_dropped(wire::machine_group_key("6-1"))) << "an earlier leader's";
+  EXPECT_FALSE(groups.is_dropped(wire::machine_group_key("6-1")))
+      << "the record belongs to an earlier leader";
   commit_all();
   EXPECT_EQ(stored.find(wire::machine_group_key("7-1")), nullptr);
 }
@@ -181,7 +182,8 @@
   groups.adopt_machine("m9", machine("m10"));
   groups.remove(*fleet.find({"m9"}));
   groups.add(machine("m11"), {});
-  EXPECT_EQ(fleet.find({"m11"})->record_group, "7-1") << "neither has room yet, or ever";
+  EXPECT_EQ(fleet.find({"m11"})->record_group, "7-1")
+      << "one record is not open yet, the other never will be";
   groups.remove(*fleet.find({"m1"}));
   fleet.erase({"m1"});
   fleet.erase({"m9"});
@@ -269,7 +271,7 @@
   first.state = wire::JobState::done;
   bitmaps.remove(first);
   EXPECT_TRUE(first.completion_buckets.empty());
-  EXPECT_EQ(writes.size(), 0U) << "it is written with the next that ends there";
+  EXPECT_EQ(writes.size(), 0U) << "the record is written when the next job in it ends";
   second.state = wire::JobState::done;
   bitmaps.remove(second);
   EXPECT_TRUE(bitmaps.is_dropped(wire::completion_key(number)));
--- a/tests/write_coalescer_test.cpp
+++ b/tests/write_coalescer_test.cpp
@@ -253,11 +253,11 @@
   ASSERT_EQ(read_barriers.size(), 1U);
   EXPECT_TRUE(read_barriers[0].urgent);
   retry();
-  EXPECT_EQ(commits.size(), 1U) << "nothing is sent before the barrier's answer";
+  EXPECT_EQ(commits.size(), 1U) << "nothing is sent before the read barrier completes";
 
   owner.cache.apply({"a", Json("of another"), wire::KeyRevision{85}});
   answer_barrier(true);
-  EXPECT_EQ(commits.size(), 1U) << "the owner decides when to try again";
+  EXPECT_EQ(commits.size(), 1U) << "the owner decides when to retry";
   retry();
   ASSERT_EQ(commits.size(), 2U);
   EXPECT_EQ(condition("a").value, 85U);
@@ -332,7 +332,7 @@
     EXPECT_EQ(written_keys().size(), expected);
     answer_commit(Outcome::invalid);
   }
-  EXPECT_TRUE(read_barriers.empty()) << "it is known not to be executed";
+  EXPECT_TRUE(read_barriers.empty()) << "a refused transaction is known not to have been executed";
   // k0 is too small to be refused for its size, so it is delayed; the others are sent, at first one at a
   // time.
   EXPECT_EQ(writes.batch_limit(), 1U);
@@ -355,7 +355,7 @@
   run_turn();
   answer_commit(Outcome::invalid);
   EXPECT_EQ(writes.value_limit(), 1401U);  // 0.7 of the size of the value with its quotes
-  ASSERT_EQ(commits.size(), 2U) << "tried again at once, for its owner to make it smaller";
+  ASSERT_EQ(commits.size(), 2U) << "retried at once, so that the owner makes the value smaller";
 }
 
 TEST_F(WriteCoalescerTest, RestoresTheBatchLimitAfterEnoughCommits) {
@@ -379,7 +379,7 @@
   writes.clear();
   writes.store("b", Json(1), FlushDelay::none);
   run_turn();
-  ASSERT_EQ(commits.size(), 2U) << "the transaction of before holds up nothing";
+  ASSERT_EQ(commits.size(), 2U) << "the transaction sent before clear() does not block new ones";
   const auto late_answer = commits[0].done;
   late_answer({Outcome::committed, wire::StoreRevision{90}});
   late_answer({Outcome::unknown, {}});
