--- a/src/gang/gang_fit.cpp
+++ b/src/gang/gang_fit.cpp
@@ -11,160 +11,169 @@
 namespace {
 constexpr double kRounding = 1e-6;
 
-// Takes room while a search goes on, so that the next place is found elsewhere, and gives it back.
-class Taken {
+// Reserves resources on the machines that a search has chosen, so that the search does not choose a machine
+// twice. The destructor restores the earlier reservations.
+class TemporaryReservations {
  public:
-  Taken(Fleet& fleet, const wire::Resources& request) : fleet_(fleet), need_(request) {}
-  Taken(const Taken&) = delete;
-  Taken& operator=(const Taken&) = delete;
-  ~Taken() {
-    for (auto& [machine, kept] : machines_) {
-      machine->reserved = kept;
+  TemporaryReservations(Fleet& fleet, const wire::Resources& request) : fleet_(fleet), request_(request) {}
+  TemporaryReservations(const TemporaryReservations&) = delete;
+  TemporaryReservations& operator=(const TemporaryReservations&) = delete;
+  ~TemporaryReservations() {
+    for (auto& [machine, reserved] : machines_) {
+      machine->reserved = reserved;
       fleet_.refresh(*machine);
     }
   }
   void add(Machine& machine) {
     machines_.emplace_back(&machine, machine.reserved);
-    machine.reserved += need_;
+    machine.reserved += request_;
     fleet_.refresh(machine);
   }
 
  private:
   Fleet& fleet_;
-  wire::Resources need_;
-  std::vector<std::pair<Machine*, wire::Resources>> machines_;  // with what was kept there before
+  wire::Resources request_;
+  std::vector<std::pair<Machine*, wire::Resources>> machines_;  // with their reservations before the search
 };
 
-bool usable(const Machine& machine, const Search& search) {
-  wire::Resources room = machine.available();
-  room += search.spec.request;  // its own
-  return machine.takes_tasks() && !machine.overdue && search.spec.request.fits(room) &&
-         !search.avoid.contains(machine.id) && search.suits(machine);
+bool is_usable(const Machine& machine, const PlacementSearch& search) {
+  wire::Resources available = machine.available();
+  available += search.spec.request;  // includes what is reserved for this gang
+  return machine.takes_tasks() && !machine.overdue && search.spec.request.fits(available) &&
+         !search.excluded_machines.contains(machine.id) && search.is_suitable(machine);
 }
 
-struct InZone {
-  std::vector<Placement> spots;
+struct ZoneSearchResult {
+  std::vector<Placement> placements;
   std::size_t with_image = 0;
 };
 
-InZone look_in(Fleet& fleet, const Search& search, const std::string& zone) {
-  InZone result;
+ZoneSearchResult search_zone(Fleet& fleet, const PlacementSearch& search, const std::string& zone) {
+  ZoneSearchResult result;
   wire::JobSpec spec = search.spec;
   spec.zone = zone;
   std::set<wire::MachineId> chosen;
   const auto add = [&](const Machine& machine) {
     chosen.insert(machine.id);
-    result.spots.push_back({machine.id, machine.zone});
+    result.placements.push_back({machine.id, machine.zone});
     result.with_image += machine.images.contains(spec.image) ? 1 : 0;
   };
-  for (const auto& spot : search.kept) {
-    if (result.spots.size() == search.count) return result;
-    const auto* machine = fleet.peek(spot.machine_id);
-    if (machine == nullptr || machine->zone != zone || chosen.contains(spot.machine_id)) continue;
-    if (usable(*machine, search)) add(*machine);
+  for (const auto& placement : search.reserved) {
+    if (result.placements.size() == search.count) return result;
+    const auto* machine = fleet.peek(placement.machine_id);
+    if (machine == nullptr || machine->zone != zone || chosen.contains(placement.machine_id)) continue;
+    if (is_usable(*machine, search)) add(*machine);
   }
-  Taken taken(fleet, spec.request);
-  for (const bool reclaimable : {false, true}) {
-    if (reclaimable && !spec.allows_preemptible) break;
-    Fleet::MachineQuery choice{spec,
-                               reclaimable,
-                               true,
-                               search.fetch_s,
-                               [](const model::Pool&) { return 0.0; },
-                               [&](const Machine& machine) {
-                                 return !chosen.contains(machine.id) && !search.avoid.contains(machine.id) &&
-                                        search.suits(machine);
-                               },
-                               false};
-    while (result.spots.size() < search.count) {
-      auto* machine = fleet.find_best(choice);
+  TemporaryReservations temporary(fleet, spec.request);
+  for (const bool preemptible_pools : {false, true}) {
+    if (preemptible_pools && !spec.allows_preemptible) break;
+    Fleet::MachineQuery query{spec,
+                              preemptible_pools,
+                              true,
+                              search.image_pull_s,
+                              [](const model::Pool&) { return 0.0; },
+                              [&](const Machine& machine) {
+                                return !chosen.contains(machine.id) &&
+                                       !search.excluded_machines.contains(machine.id) &&
+                                       search.is_suitable(machine);
+                              },
+                              false};
+    while (result.placements.size() < search.count) {
+      auto* machine = fleet.find_best(query);
       if (machine == nullptr) break;
       add(*machine);
-      taken.add(*machine);
+      temporary.add(*machine);
     }
   }
   return result;
 }
 }  // namespace
 
-void GangReservations::keep(Fleet& fleet, const ReplicaId& id, const wire::MachineId& machine_id,
-                            const wire::Resources& request) {
+void GangReservations::reserve(Fleet& fleet, const GangId& id, const wire::MachineId& machine_id,
+                               const wire::Resources& request) {
   auto* machine = fleet.find(machine_id);
   if (machine == nullptr || !reserved_.emplace(std::pair(id, machine_id), request).second) return;
   machine->reserved += request;
   fleet.refresh(*machine);
 }
 
-void GangReservations::drop(Fleet& fleet, const ReplicaId& id, const wire::MachineId& machine_id) {
+void GangReservations::release(Fleet& fleet, const GangId& id, const wire::MachineId& machine_id) {
   const auto found = reserved_.find({id, machine_id});
   if (found == reserved_.end()) return;
   if (auto* machine = fleet.find(machine_id)) {
     machine->reserved -= found->second;
-    // No remainder of a rounding stays behind.
+    // Removes what rounding leaves.
     if (machine->reserved.cores < kRounding) machine->reserved = {};
     fleet.refresh(*machine);
   }
   reserved_.erase(found);
 }
 
-Found find_places(Fleet& fleet, const Search& search) {
+PlacementSearchResult find_placements(Fleet& fleet, const PlacementSearch& search) {
   std::set<std::string> zones;
   if (!search.zone.empty())
     zones.insert(search.zone);
   else
     for (const auto& [pool, state] : fleet.pools())
       if (model::allows(search.spec, pool) && search.zone_allows(pool.zone)) zones.insert(pool.zone);
-  Found best;
-  // All; then where room is kept for it, where the image is; of equals the zone that goes first.
+  PlacementSearchResult best;
+  // Zones with enough placements come first, ordered by the number of machines that hold the image; then all
+  // other zones by their number of placements, reserved ones included. The preferred zone wins among equal
+  // ones.
   using Score = std::tuple<bool, std::size_t, std::size_t, bool>;
   Score best_score{false, 0, 0, false};
   for (const auto& zone : zones) {
-    auto there = look_in(fleet, search, zone);
-    const bool all = there.spots.size() == search.count;
-    const Score score{all, all ? there.with_image : there.spots.size(), there.with_image,
-                      zone == search.first_zone};
+    auto candidate = search_zone(fleet, search, zone);
+    const bool complete = candidate.placements.size() == search.count;
+    const Score score{complete, complete ? candidate.with_image : candidate.placements.size(),
+                      candidate.with_image, zone == search.preferred_zone};
     if (!best.zone.empty() && score <= best_score) continue;
-    best = {std::move(there.spots), zone, all};
+    best = {std::move(candidate.placements), zone, complete};
     best_score = score;
   }
   return best;
 }
 
-std::vector<Placement> find_busy(Fleet& fleet, wire::MachineId& cursor, std::size_t look,
-                                 const Search& search, const Found& found, std::size_t most) {
+std::vector<Placement> find_occupied_machines(Fleet& fleet, wire::MachineId& cursor, std::size_t max_visited,
+                                              const PlacementSearch& search,
+                                              const PlacementSearchResult& found, std::size_t limit) {
   std::set<wire::MachineId> chosen;
-  for (const auto& spot : found.spots) chosen.insert(spot.machine_id);
-  std::vector<std::pair<double, Placement>> busy;
+  for (const auto& placement : found.placements) chosen.insert(placement.machine_id);
+  std::vector<std::pair<double, Placement>> occupied;
   const auto& request = search.spec.request;
-  fleet.visit_after(cursor, look, [&](Machine& machine) {
+  fleet.visit_after(cursor, max_visited, [&](Machine& machine) {
     if (machine.zone != found.zone || chosen.contains(machine.id) || !machine.takes_tasks() ||
-        machine.overdue || search.avoid.contains(machine.id) ||
+        machine.overdue || search.excluded_machines.contains(machine.id) ||
         !model::allows(search.spec, {machine.machine_type, machine.zone, machine.preemptible}))
       return;
-    // Services do not end, and what is kept for another replica is not for this one.
-    const double left = machine.capacity.cores - machine.service_cores - machine.reserved.cores;
-    if (left + kRounding < request.cores || !request.fits(machine.capacity) || !search.suits(machine)) return;
-    busy.emplace_back(machine.used.cores, Placement{machine.id, machine.zone});
+    // Services do not end by themselves, and resources reserved for another gang are not available to this
+    // one.
+    const double available_cores = machine.capacity.cores - machine.service_cores - machine.reserved.cores;
+    if (available_cores + kRounding < request.cores || !request.fits(machine.capacity) ||
+        !search.is_suitable(machine))
+      return;
+    occupied.emplace_back(machine.used.cores, Placement{machine.id, machine.zone});
   });
-  std::sort(busy.begin(), busy.end(), [](const auto& a, const auto& b) {
+  std::sort(occupied.begin(), occupied.end(), [](const auto& a, const auto& b) {
     return std::tie(a.first, a.second.machine_id) < std::tie(b.first, b.second.machine_id);
   });
   std::vector<Placement> result;
-  for (auto& [used, spot] : busy)
-    if (result.size() < most) result.push_back(std::move(spot));
+  for (auto& [used, placement] : occupied)
+    if (result.size() < limit) result.push_back(std::move(placement));
   return result;
 }
 
-std::vector<Placement> assign(const std::vector<std::uint32_t>& members, const std::vector<Placement>& spots,
-                              const std::function<bool(std::uint32_t, const wire::MachineId&)>& taken) {
-  const auto count = members.size();
-  if (spots.size() < count) return {};
-  for (std::size_t turn = 0; turn < count; ++turn) {
+std::vector<Placement> assign_placements(
+    const std::vector<std::uint32_t>& tasks, const std::vector<Placement>& placements,
+    const std::function<bool(std::uint32_t, const wire::MachineId&)>& has_earlier_attempt) {
+  const auto count = tasks.size();
+  if (placements.size() < count) return {};
+  for (std::size_t offset = 0; offset < count; ++offset) {
     std::vector<Placement> result;
     for (std::size_t i = 0; i < count; ++i) {
-      const auto& spot = spots[(i + turn) % count];
-      if (taken(members[i], spot.machine_id)) break;
-      result.push_back(spot);
+      const auto& placement = placements[(i + offset) % count];
+      if (has_earlier_attempt(tasks[i], placement.machine_id)) break;
+      result.push_back(placement);
     }
     if (result.size() == count) return result;
   }
--- a/src/gang/gang_fit.hpp
+++ b/src/gang/gang_fit.hpp
@@ -1,6 +1,6 @@
-// Where a replica can stand: places for all its members at once, each on a machine of its own, all in one
-// zone. Pure: no input, output or clocks. The work of a search grows with members and zones, not with the
-// fleet.
+// Search for the machines of a gang: placements for all of its tasks at once, on distinct machines in one
+// zone. The code has no input or output and reads no clock. The cost of a search grows with the number of
+// tasks and zones, not with the size of the fleet.
 #pragma once
 
 #include <functional>
@@ -14,48 +14,53 @@
 
 namespace bankhill::gang {
 
-// The room that is kept for replicas on machines (model::Machine::kept).
+// The resources that are reserved for gangs, by gang and machine. Their sum on a machine is counted in
+// model::Machine::reserved.
 class GangReservations {
  public:
-  void keep(model::Fleet& fleet, const ReplicaId& id, const wire::MachineId& machine_id,
-            const wire::Resources& request);
-  void drop(model::Fleet& fleet, const ReplicaId& id, const wire::MachineId& machine_id);
+  void reserve(model::Fleet& fleet, const GangId& id, const wire::MachineId& machine_id,
+               const wire::Resources& request);
+  void release(model::Fleet& fleet, const GangId& id, const wire::MachineId& machine_id);
   void clear() { reserved_.clear(); }
   std::size_t size() const { return reserved_.size(); }
 
  private:
-  std::map<std::pair<ReplicaId, wire::MachineId>, wire::Resources> reserved_;
+  std::map<std::pair<GangId, wire::MachineId>, wire::Resources> reserved_;
 };
 
-struct Search {
+struct PlacementSearch {
   const wire::JobSpec& spec;
-  std::size_t count = 0;            // places wanted
-  std::vector<Placement> kept;      // room that is kept for it already: taken first
-  std::set<wire::MachineId> avoid;  // not on these
-  std::string zone;                 // in this one; empty: in any
-  std::string first_zone;           // of equals this one
-  std::function<double(const model::Pool&)> fetch_s;
-  std::function<bool(const model::Machine&)> suits;
-  std::function<bool(const std::string&)> zone_allows;
+  std::size_t count = 0;            // number of placements to find
+  std::vector<Placement> reserved;  // placements already reserved for the gang; used first
+  std::set<wire::MachineId> excluded_machines;
+  std::string zone;                                        // the zone to search; empty for all zones
+  std::string preferred_zone;                              // zone that is chosen among equally good ones
+  std::function<double(const model::Pool&)> image_pull_s;  // time to pull the image on machines of the pool
+  std::function<bool(const model::Machine&)> is_suitable;
+  std::function<bool(const std::string&)> zone_allows;  // whether the zone may take `count` tasks of the job
 };
 
-struct Found {
-  std::vector<Placement> spots;  // the first of them kept ones; fewer than wanted if there are no more
+struct PlacementSearchResult {
+  std::vector<Placement> placements;  // reserved ones first; fewer than requested if there are no more
   std::string zone;
-  bool all = false;
+  bool complete = false;  // whether all requested placements were found
 };
 
-// In the zone where most machines have the image, if several have places for all; else as many as any has.
-Found find_places(model::Fleet& fleet, const Search& search);
+// Chooses the zone in which most machines hold the image among those that have enough placements. If no zone
+// has enough, chooses the one with the most placements.
+PlacementSearchResult find_placements(model::Fleet& fleet, const PlacementSearch& search);
 
-// Machines that hold what ends by itself and would have room for a member then: up to `most` in the zone
-// beside `spots`, the emptiest of `look` machines after the cursor.
-std::vector<Placement> find_busy(model::Fleet& fleet, wire::MachineId& cursor, std::size_t look,
-                                 const Search& search, const Found& found, std::size_t most);
+// Finds up to `limit` machines, in the zone of `found` and besides its placements, that could run a task of
+// the job after their batch tasks have ended. Of the next `max_visited` machines after the cursor, those with
+// the fewest used cores are returned.
+std::vector<Placement> find_occupied_machines(model::Fleet& fleet, wire::MachineId& cursor,
+                                              std::size_t max_visited, const PlacementSearch& search,
+                                              const PlacementSearchResult& found, std::size_t limit);
 
-// Gives each member a place, none where `taken(member, machine)`; empty if there is no such way round the
-// places.
-std::vector<Placement> assign(const std::vector<std::uint32_t>& members, const std::vector<Placement>& spots,
-                              const std::function<bool(std::uint32_t, const wire::MachineId&)>& taken);
+// Assigns a placement to each task so that `has_earlier_attempt(task, machine)` is false for every pair.
+// Tries the rotations of the list of placements; returns an empty list if none fits.
+std::vector<Placement> assign_placements(
+    const std::vector<std::uint32_t>& tasks, const std::vector<Placement>& placements,
+    const std::function<bool(std::uint32_t, const wire::MachineId&)>& has_earlier_attempt);
 
 }  // namespace bankhill::gang
--- a/src/gang/gang_scheduler.cpp
+++ b/src/gang/gang_scheduler.cpp
@@ -7,8 +7,9 @@
 using model::Fleet;
 
 namespace {
-constexpr std::size_t kLookBusy = 48;  // machines looked at for room that is to come free
-}
+// Number of machines that one search for occupied machines visits.
+constexpr std::size_t kOccupiedSearchSize = 48;
+}  // namespace
 
 void GangScheduler::clear() {
   tracker_.clear();
@@ -17,8 +18,8 @@
   shortages_.clear();
 }
 
-void GangScheduler::add_job(const wire::JobSpec& spec, std::uint32_t span, double fetch_s) {
-  tracker_.add_job(spec.id, spec.task_count, span, fetch_s);
+void GangScheduler::add_job(const wire::JobSpec& spec, std::uint32_t span, double image_pull_s) {
+  tracker_.add_job(spec.id, spec.task_count, span, image_pull_s);
   if (tracker_.has_job(spec.id)) requests_[spec.id] = spec.request;
 }
 
@@ -29,11 +30,11 @@
 
 std::vector<Action> GangScheduler::apply_reservations(Fleet& fleet) {
   std::vector<Action> stops;
-  for (auto& action : tracker_.take()) {
-    if (action.kind == Action::Kind::keep)
-      reservations_.keep(fleet, action.gang_id, action.machine_id, requests_.at(action.gang_id.first));
-    else if (action.kind == Action::Kind::drop)
-      reservations_.drop(fleet, action.gang_id, action.machine_id);
+  for (auto& action : tracker_.take_actions()) {
+    if (action.kind == Action::Kind::reserve)
+      reservations_.reserve(fleet, action.gang_id, action.machine_id, requests_.at(action.gang_id.first));
+    else if (action.kind == Action::Kind::release)
+      reservations_.release(fleet, action.gang_id, action.machine_id);
     else
       stops.push_back(std::move(action));
   }
@@ -41,95 +42,112 @@
   return stops;
 }
 
-std::optional<Start> GangScheduler::place_gang(Fleet& fleet, const PlacementRequest& want,
-                                               const GangConstraints& site, double now) {
-  Search search{site.spec,           want.tasks.size(), want.reserved, want.peers, want.zone,
-                site.preferred_zone, site.image_pull_s, site.suits,    {}};
-  search.avoid.insert(want.avoid.begin(), want.avoid.end());
+std::optional<GangStart> GangScheduler::place_gang(Fleet& fleet, const PlacementRequest& request,
+                                                   const GangConstraints& constraints, double now) {
+  PlacementSearch search{constraints.spec,
+                         request.tasks.size(),
+                         request.reserved,
+                         request.peer_machines,
+                         request.zone,
+                         constraints.preferred_zone,
+                         constraints.image_pull_s,
+                         constraints.is_suitable,
+                         {}};
+  search.excluded_machines.insert(request.excluded_machines.begin(), request.excluded_machines.end());
   search.zone_allows = [&](const std::string& zone) {
-    return site.zone_allows(static_cast<std::uint32_t>(want.tasks.size()), zone);
+    return constraints.zone_allows(static_cast<std::uint32_t>(request.tasks.size()), zone);
   };
-  const auto found = find_places(fleet, search);
-  if (found.all) {
-    shortages_.erase(want.id.first);
-    const auto spots = assign(want.tasks, found.spots, site.taken);
-    if (spots.empty()) return std::nullopt;
-    tracker_.started(want, spots, now);
-    Start start{want.id, {}};
-    for (std::size_t i = 0; i < spots.size(); ++i)
-      start.tasks.emplace_back(want.tasks[i], spots[i].machine_id);
+  const auto found = find_placements(fleet, search);
+  if (found.complete) {
+    shortages_.erase(request.id.first);
+    const auto placements =
+        assign_placements(request.tasks, found.placements, constraints.has_earlier_attempt);
+    if (placements.empty()) return std::nullopt;
+    tracker_.on_gang_placed(request, placements, now);
+    GangStart start{request.id, {}};
+    for (std::size_t i = 0; i < placements.size(); ++i)
+      start.tasks.emplace_back(request.tasks[i], placements[i].machine_id);
     return start;
   }
-  shortages_[want.id.first] = {found.zone, search.count - found.spots.size()};
-  // Of one that is half there the rest must be found at once, or all goes.
-  if (want.zone.empty()) tracker_.reserve_partial(want.id, to_hold(fleet, want, search, found), now);
+  shortages_[request.id.first] = {found.zone, search.count - found.placements.size()};
+  // A partly placed gang holds no partial reservation: it is completed before its start deadline, or stopped.
+  if (request.zone.empty())
+    tracker_.reserve_partial(request.id, choose_partial_reservation(fleet, request, search, found), now);
   return std::nullopt;
 }
 
-// What is kept already stays as long as it is of use: hopping from machine to machine, nothing would come
-// free.
-std::vector<Placement> GangScheduler::to_hold(Fleet& fleet, const PlacementRequest& want,
-                                              const Search& search, const Found& found) {
-  Found held{{}, found.zone, false};
-  if (tracker_.holder() == want.id && !want.reserved.empty()) {
-    held.zone = want.reserved.front().zone;
-    for (const auto& spot : want.reserved) {
-      const auto* machine = fleet.peek(spot.machine_id);
-      if (machine != nullptr && machine->takes_tasks() && spot.zone == held.zone &&
-          !search.avoid.contains(spot.machine_id))
-        held.spots.push_back(spot);
+// Keeps the gang's present partial reservation as far as its machines are usable, and adds placements up to
+// the number needed. If the reservation moved from machine to machine, no machine would become free.
+std::vector<Placement> GangScheduler::choose_partial_reservation(Fleet& fleet,
+                                                                 const PlacementRequest& request,
+                                                                 const PlacementSearch& search,
+                                                                 const PlacementSearchResult& found) {
+  PlacementSearchResult held{{}, found.zone, false};
+  if (tracker_.partial_holder() == request.id && !request.reserved.empty()) {
+    held.zone = request.reserved.front().zone;
+    for (const auto& placement : request.reserved) {
+      const auto* machine = fleet.peek(placement.machine_id);
+      if (machine != nullptr && machine->takes_tasks() && placement.zone == held.zone &&
+          !search.excluded_machines.contains(placement.machine_id))
+        held.placements.push_back(placement);
     }
-  } else if (tracker_.holder() && tracker_.holder() != want.id) {
+  } else if (tracker_.partial_holder() && tracker_.partial_holder() != request.id) {
     return {};
   }
   if (held.zone == found.zone)
-    for (const auto& spot : found.spots)
-      if (held.spots.size() < search.count &&
-          std::find(held.spots.begin(), held.spots.end(), spot) == held.spots.end())
-        held.spots.push_back(spot);
-  if (held.spots.size() < search.count) {
-    auto busy = find_busy(fleet, cursor_, kLookBusy, search, held, search.count - held.spots.size());
-    held.spots.insert(held.spots.end(), busy.begin(), busy.end());
+    for (const auto& placement : found.placements)
+      if (held.placements.size() < search.count &&
+          std::find(held.placements.begin(), held.placements.end(), placement) == held.placements.end())
+        held.placements.push_back(placement);
+  if (held.placements.size() < search.count) {
+    auto occupied = find_occupied_machines(fleet, occupied_cursor_, kOccupiedSearchSize, search, held,
+                                           search.count - held.placements.size());
+    held.placements.insert(held.placements.end(), occupied.begin(), occupied.end());
   }
-  return std::move(held.spots);
+  return std::move(held.placements);
 }
 
-bool GangScheduler::begin_move(Fleet& fleet, const Move& move, const GangConstraints& site, double now) {
+bool GangScheduler::begin_move(Fleet& fleet, const Move& move, const GangConstraints& constraints,
+                               double now) {
   const auto span = move.leaving_tasks.size() + move.staying.size();
-  Search search{site.spec,           move.leaving_tasks.size(), {},         {}, {},
-                site.preferred_zone, site.image_pull_s,         site.suits, {}};
+  PlacementSearch search{
+      constraints.spec,         move.leaving_tasks.size(), {}, {}, {}, constraints.preferred_zone,
+      constraints.image_pull_s, constraints.is_suitable,   {}};
   search.zone_allows = [](const std::string&) { return true; };
-  for (const auto& spot : move.staying) search.avoid.insert(spot.machine_id);
-  // Where the others are, so that only what must move fetches its weights; else all of it elsewhere.
-  Found found;
-  std::optional<Shortage> near;
+  for (const auto& placement : move.staying) search.excluded_machines.insert(placement.machine_id);
+  // Searches the zone of the staying tasks first, so that only the leaving tasks have to pull the
+  // image. If that fails, searches all zones for placements for the whole gang.
+  PlacementSearchResult found;
+  std::optional<Shortage> shortage_in_zone;
   if (!move.staying.empty()) {
     search.zone = move.staying.front().zone;
-    found = find_places(fleet, search);
-    near = {search.zone, search.count - found.spots.size()};
+    found = find_placements(fleet, search);
+    shortage_in_zone = {search.zone, search.count - found.placements.size()};
   }
-  if (!found.all) {
+  if (!found.complete) {
     search.zone.clear();
     search.count = span;
-    search.zone_allows = [&](const std::string& other) {
-      return site.zone_allows(static_cast<std::uint32_t>(span), other);
+    search.zone_allows = [&](const std::string& zone) {
+      return constraints.zone_allows(static_cast<std::uint32_t>(span), zone);
     };
-    found = find_places(fleet, search);
-    if (!found.all) {
-      shortages_[move.id.first] = near ? *near : Shortage{found.zone, span - found.spots.size()};
+    found = find_placements(fleet, search);
+    if (!found.complete) {
+      shortages_[move.id.first] =
+          shortage_in_zone ? *shortage_in_zone : Shortage{found.zone, span - found.placements.size()};
       return false;
     }
   } else {
-    found.spots.insert(found.spots.end(), move.staying.begin(), move.staying.end());
+    found.placements.insert(found.placements.end(), move.staying.begin(), move.staying.end());
   }
   shortages_.erase(move.id.first);
-  tracker_.moving(move.id, found.spots, now);
+  tracker_.begin_move(move.id, found.placements, now);
   return true;
 }
 
 const std::map<wire::JobId, Shortage>& GangScheduler::shortages(double now) {
   std::erase_if(shortages_, [&](const auto& entry) {
-    return tracker_.placement_requests(entry.first, 1, now).empty() && !tracker_.leaving(entry.first);
+    return tracker_.placement_requests(entry.first, 1, now).empty() &&
+           !tracker_.has_gang_to_move(entry.first);
   });
   return shortages_;
 }
--- a/src/gang/gang_scheduler.hpp
+++ b/src/gang/gang_scheduler.hpp
@@ -1,5 +1,6 @@
-// Ties the board to the fleet: finds places for replicas, keeps room for those that are about to start, and
-// says what a fleet lacks for those that wait. Pure: times are seconds on the caller's steady clock.
+// Gang scheduling on the fleet: finds machines for gangs, reserves resources on them, and reports how many
+// machines the waiting gangs lack. The code has no input or output and reads no clock: all times are seconds
+// on the caller's steady clock.
 #pragma once
 
 #include <functional>
@@ -14,27 +15,33 @@
 
 namespace bankhill::gang {
 
-// What the caller knows of a job and the machines.
+// What the caller knows about a job and the machines that it may use.
 struct GangConstraints {
   const wire::JobSpec& spec;
-  std::string preferred_zone;                              // of equal zones this one
-  std::function<double(const model::Pool&)> image_pull_s;  // of the image, on machines of a pool
-  std::function<bool(const model::Machine&)> suits;        // whether a member of the job may start there
-  std::function<bool(std::uint32_t members, const std::string& zone)> zone_allows;  // so many more
-  // An earlier attempt of the member is still listed there: a start would be refused.
-  std::function<bool(std::uint32_t, const wire::MachineId&)> taken;
+  std::string preferred_zone;                              // zone that is chosen among equally good ones
+  std::function<double(const model::Pool&)> image_pull_s;  // time to pull the image on machines of the pool
+  std::function<bool(const model::Machine&)>
+      is_suitable;  // whether a task of the job may start on the machine
+  // Whether the zone may take this many more tasks of the job.
+  std::function<bool(std::uint32_t tasks, const std::string& zone)> zone_allows;
+  // Whether the machine still lists an earlier attempt of the task. Its agent would refuse to start the task.
+  std::function<bool(std::uint32_t, const wire::MachineId&)> has_earlier_attempt;
 };
 
-struct Start {  // all at once
-  ReplicaId id;
+// The tasks of a gang that are to be started together, each with its machine.
+struct GangStart {
+  GangId id;
   std::vector<std::pair<std::uint32_t, wire::MachineId>> tasks;
 };
 
-struct Shortage {  // machines that a job's replica needs beyond those that it found
+// How many more machines a gang of a job needs than were found.
+struct Shortage {
   std::string zone;
   std::size_t machines = 0;
 };
 
+// Owns the tracker of all gangs and their reservations in the fleet. The leader calls it at each placement
+// pass.
 class GangScheduler {
  public:
   explicit GangScheduler(GangTracker::Settings settings) : tracker_(settings) {}
@@ -42,31 +49,33 @@
   GangTracker& tracker() { return tracker_; }
   const GangTracker& tracker() const { return tracker_; }
   void clear();
-  void add_job(const wire::JobSpec& spec, std::uint32_t span, double fetch_s);
+  void add_job(const wire::JobSpec& spec, std::uint32_t span, double image_pull_s);
   void remove_job(const wire::JobId& job);
   bool has_job(const wire::JobId& job) const { return tracker_.has_job(job); }
   bool has_work() const { return tracker_.has_work(); }
 
-  // Carries out what the board wants kept and dropped; returns what is to be stopped.
+  // Takes the tracker's actions. Makes and releases reservations in the fleet, and returns the stop actions.
   std::vector<Action> apply_reservations(model::Fleet& fleet);
-  // Places for all that the replica lacks: it counts as started, the caller binds and orders. Nothing: not
-  // now.
-  std::optional<Start> place_gang(model::Fleet& fleet, const PlacementRequest& want,
-                                  const GangConstraints& site, double now);
-  // Reserves all places of a move: the replica is then stopped. False: there are none.
-  bool begin_move(model::Fleet& fleet, const Move& move, const GangConstraints& site, double now);
-  // What the replicas of jobs that found no place lack.
+  // Finds machines for all tasks of the request. If it succeeds, the gang counts as starting, and the caller
+  // assigns the tasks and sends the start commands. Returns nothing if the gang can't be placed now.
+  std::optional<GangStart> place_gang(model::Fleet& fleet, const PlacementRequest& request,
+                                      const GangConstraints& constraints, double now);
+  // Reserves machines for all tasks of the gang and stops it, so that it starts on them. Returns false, and
+  // leaves the gang running, if there are not enough machines.
+  bool begin_move(model::Fleet& fleet, const Move& move, const GangConstraints& constraints, double now);
+  // Jobs with a gang that could not be placed or moved, and the machines that it lacks.
   const std::map<wire::JobId, Shortage>& shortages(double now);
 
  private:
-  std::vector<Placement> to_hold(model::Fleet& fleet, const PlacementRequest& want, const Search& search,
-                                 const Found& found);
+  std::vector<Placement> choose_partial_reservation(model::Fleet& fleet, const PlacementRequest& request,
+                                                    const PlacementSearch& search,
+                                                    const PlacementSearchResult& found);
 
   GangTracker tracker_;
   GangReservations reservations_;
-  std::map<wire::JobId, wire::Resources> requests_;
+  std::map<wire::JobId, wire::Resources> requests_;  // resources of one task of each job
   std::map<wire::JobId, Shortage> shortages_;
-  wire::MachineId cursor_;
+  wire::MachineId occupied_cursor_;  // last machine visited by find_occupied_machines()
 };
 
 }  // namespace bankhill::gang
--- a/src/gang/gang_tracker.cpp
+++ b/src/gang/gang_tracker.cpp
@@ -7,44 +7,46 @@
 namespace bankhill::gang {
 
 namespace {
-// An image takes a third longer than its type's rate says, and several fetched at once share that rate.
-constexpr double kFetchSpread = 1.5;
+// Margin on the expected time of an image pull: a pull takes a third longer than the machine type's rate
+// suggests, and images that are pulled at the same time share that rate.
+constexpr double kImagePullMargin = 1.5;
 }  // namespace
 
 void GangTracker::clear() {
   jobs_.clear();
-  halves_.clear();
+  starting_.clear();
   stopping_.clear();
-  keeping_.clear();
-  leavers_.clear();
-  holder_.reset();
-  held_last_.reset();
+  reserving_.clear();
+  needing_move_.clear();
+  partial_holder_.reset();
+  last_partial_holder_.reset();
   actions_.clear();
 }
 
-void GangTracker::add_job(const wire::JobId& job, std::uint32_t members, std::uint32_t span, double fetch_s) {
+void GangTracker::add_job(const wire::JobId& job, std::uint32_t task_count, std::uint32_t span,
+                          double image_pull_s) {
   if (span < 2) return;
-  Job item;
-  item.span = span;
-  item.unusable_tasks = members % span;
-  item.image_pull_s = fetch_s;
-  item.replicas.resize(members / span);
-  for (auto& replica : item.replicas) replica.tasks.resize(span);
-  for (std::uint32_t number = 0; number < item.replicas.size(); ++number) item.open.insert(number);
-  jobs_.insert_or_assign(job, std::move(item));
+  Job entry;
+  entry.span = span;
+  entry.unusable_tasks = task_count % span;
+  entry.image_pull_s = image_pull_s;
+  entry.gangs.resize(task_count / span);
+  for (auto& gang : entry.gangs) gang.tasks.resize(span);
+  for (std::uint32_t number = 0; number < entry.gangs.size(); ++number) entry.placeable_gangs.insert(number);
+  jobs_.insert_or_assign(job, std::move(entry));
 }
 
 void GangTracker::remove_job(const wire::JobId& job) {
   const auto found = jobs_.find(job);
   if (found == jobs_.end()) return;
-  for (std::uint32_t number = 0; number < found->second.replicas.size(); ++number) {
-    const ReplicaId id{job, number};
-    keep(id, found->second.replicas[number], {});
-    halves_.erase(id);
+  for (std::uint32_t number = 0; number < found->second.gangs.size(); ++number) {
+    const GangId id{job, number};
+    set_reservations(id, found->second.gangs[number], {});
+    starting_.erase(id);
     stopping_.erase(id);
-    leavers_.erase(id);
-    if (holder_ == id) holder_.reset();
-    if (held_last_ == id) held_last_.reset();
+    needing_move_.erase(id);
+    if (partial_holder_ == id) partial_holder_.reset();
+    if (last_partial_holder_ == id) last_partial_holder_.reset();
   }
   jobs_.erase(found);
 }
@@ -59,377 +61,388 @@
   return found == jobs_.end() ? 0 : found->second.unusable_tasks;
 }
 
-GangTracker::Replica* GangTracker::find(const ReplicaId& id) {
+GangTracker::Gang* GangTracker::find(const GangId& id) {
   const auto job = jobs_.find(id.first);
-  if (job == jobs_.end() || id.second >= job->second.replicas.size()) return nullptr;
-  return &job->second.replicas[id.second];
+  if (job == jobs_.end() || id.second >= job->second.gangs.size()) return nullptr;
+  return &job->second.gangs[id.second];
 }
 
-const GangTracker::Replica* GangTracker::find(const ReplicaId& id) const {
+const GangTracker::Gang* GangTracker::find(const GangId& id) const {
   return const_cast<GangTracker*>(this)->find(id);
 }
 
-std::pair<ReplicaId, std::uint32_t> GangTracker::place_of(const wire::TaskId& task_id) const {
-  const auto wide = span(task_id.job);
-  return {{task_id.job, task_id.index / wide}, task_id.index % wide};
+std::pair<GangId, std::uint32_t> GangTracker::locate(const wire::TaskId& task_id) const {
+  const auto tasks_per_gang = span(task_id.job);
+  return {{task_id.job, task_id.index / tasks_per_gang}, task_id.index % tasks_per_gang};
 }
 
-// Members that share a machine or stand in several zones, as a version that places them one by one leaves
-// them.
-bool GangTracker::split(const Replica& replica) {
+// Whether tasks of the gang share a machine or are in several zones. This occurs when a version without gang
+// scheduling has placed the tasks one by one.
+bool GangTracker::is_split(const Gang& gang) {
   std::set<wire::MachineId> machine_ids;
   std::set<std::string> zones;
-  for (const auto& member : replica.tasks) {
-    if (member.state == State::absent) continue;
-    if (!machine_ids.insert(member.placement.machine_id).second) return true;
-    zones.insert(member.placement.zone);
+  for (const auto& task : gang.tasks) {
+    if (task.state == State::unassigned) continue;
+    if (!machine_ids.insert(task.placement.machine_id).second) return true;
+    zones.insert(task.placement.zone);
   }
   return zones.size() > 1;
 }
 
-void GangTracker::enter(const ReplicaId& id, Replica& replica, Phase phase, double now) {
-  replica.phase = phase;
-  replica.since = now;
+void GangTracker::enter_phase(const GangId& id, Gang& gang, Phase phase, double now) {
+  gang.phase = phase;
+  gang.phase_started_at = now;
   if (phase == Phase::starting)
-    halves_.insert(id);
+    starting_.insert(id);
   else
-    halves_.erase(id);
+    starting_.erase(id);
   if (phase == Phase::stopping)
     stopping_.insert(id);
   else
     stopping_.erase(id);
-  note(id, replica);
+  update_indexes(id, gang);
 }
 
-// Brings the sets that the others are found by up to date.
-void GangTracker::note(const ReplicaId& id, const Replica& replica) {
-  auto& open = jobs_.at(id.first).open;
-  const auto absent = [](const Task& member) { return member.state == State::absent; };
-  const bool lacks = std::any_of(replica.tasks.begin(), replica.tasks.end(), absent);
-  if (lacks && (replica.phase == Phase::waiting || replica.phase == Phase::starting))
-    open.insert(id.second);
+// Updates the sets by which gangs with tasks to place and gangs that have to be moved are found.
+void GangTracker::update_indexes(const GangId& id, const Gang& gang) {
+  auto& placeable_gangs = jobs_.at(id.first).placeable_gangs;
+  const auto is_unassigned = [](const Task& task) { return task.state == State::unassigned; };
+  const bool has_unassigned = std::any_of(gang.tasks.begin(), gang.tasks.end(), is_unassigned);
+  if (has_unassigned && (gang.phase == Phase::waiting || gang.phase == Phase::starting))
+    placeable_gangs.insert(id.second);
   else
-    open.erase(id.second);
-  const auto leaves = [](const Task& member) { return member.state != State::absent && member.leave; };
-  if (replica.phase == Phase::whole &&
-      (std::any_of(replica.tasks.begin(), replica.tasks.end(), leaves) || split(replica)))
-    leavers_.insert(id);
+    placeable_gangs.erase(id.second);
+  const auto must_leave = [](const Task& task) { return task.state != State::unassigned && task.must_leave; };
+  if (gang.phase == Phase::running &&
+      (std::any_of(gang.tasks.begin(), gang.tasks.end(), must_leave) || is_split(gang)))
+    needing_move_.insert(id);
   else
-    leavers_.erase(id);
+    needing_move_.erase(id);
 }
 
-void GangTracker::keep(const ReplicaId& id, Replica& replica, std::vector<Placement> spots) {
-  const auto has = [](const std::vector<Placement>& list, const Placement& spot) {
-    return std::find(list.begin(), list.end(), spot) != list.end();
+void GangTracker::set_reservations(const GangId& id, Gang& gang, std::vector<Placement> placements) {
+  const auto contains = [](const std::vector<Placement>& list, const Placement& placement) {
+    return std::find(list.begin(), list.end(), placement) != list.end();
   };
-  for (const auto& spot : replica.reserved)
-    if (!has(spots, spot)) actions_.push_back({Action::Kind::drop, id, 0, spot.machine_id});
-  for (const auto& spot : spots)
-    if (!has(replica.reserved, spot)) actions_.push_back({Action::Kind::keep, id, 0, spot.machine_id});
-  replica.reserved = std::move(spots);
-  if (replica.reserved.empty())
-    keeping_.erase(id);
+  for (const auto& placement : gang.reserved)
+    if (!contains(placements, placement))
+      actions_.push_back({Action::Kind::release, id, 0, placement.machine_id});
+  for (const auto& placement : placements)
+    if (!contains(gang.reserved, placement))
+      actions_.push_back({Action::Kind::reserve, id, 0, placement.machine_id});
+  gang.reserved = std::move(placements);
+  if (gang.reserved.empty())
+    reserving_.erase(id);
   else
-    keeping_.insert(id);
+    reserving_.insert(id);
 }
 
-void GangTracker::leave_hold(const ReplicaId& id, double now) {
-  if (holder_ != id) return;
-  holder_.reset();
-  held_last_ = id;
-  held_until_ = now;
+void GangTracker::end_partial_hold(const GangId& id, double now) {
+  if (partial_holder_ != id) return;
+  partial_holder_.reset();
+  last_partial_holder_ = id;
+  last_partial_hold_ended_at_ = now;
 }
 
-void GangTracker::order_stops(const ReplicaId& id, Replica& replica, double now) {
-  replica.stopped_at = now;
-  for (std::uint32_t i = 0; i < replica.tasks.size(); ++i) {
-    const auto& member = replica.tasks[i];
-    if (member.state == State::absent) continue;
-    const auto index = id.second * static_cast<std::uint32_t>(replica.tasks.size()) + i;
-    actions_.push_back({Action::Kind::stop, id, index, member.placement.machine_id});
+void GangTracker::issue_stops(const GangId& id, Gang& gang, double now) {
+  gang.stops_issued_at = now;
+  for (std::uint32_t i = 0; i < gang.tasks.size(); ++i) {
+    const auto& task = gang.tasks[i];
+    if (task.state == State::unassigned) continue;
+    const auto index = id.second * static_cast<std::uint32_t>(gang.tasks.size()) + i;
+    actions_.push_back({Action::Kind::stop, id, index, task.placement.machine_id});
   }
 }
 
-// Its members count for nothing alone. Where they are the weights are: that room is kept for it for a while.
-void GangTracker::stop(const ReplicaId& id, Replica& replica, bool keep_room, double now) {
-  if (replica.phase == Phase::stopping) return;
-  std::vector<Placement> spots;
-  order_stops(id, replica, now);
-  for (const auto& member : replica.tasks) {
-    if (member.state == State::absent) continue;
-    if (keep_room && !member.leave && !replica.avoid.contains(member.placement.machine_id))
-      spots.push_back(member.placement);
+// Stops all tasks, because a part of a gang can't serve. With `keep_placements` the resources of the tasks
+// stay reserved for the gang for a while: their machines already hold the image.
+void GangTracker::stop_gang(const GangId& id, Gang& gang, bool keep_placements, double now) {
+  if (gang.phase == Phase::stopping) return;
+  std::vector<Placement> placements;
+  issue_stops(id, gang, now);
+  for (const auto& task : gang.tasks) {
+    if (task.state == State::unassigned) continue;
+    if (keep_placements && !task.must_leave && !gang.excluded_machines.contains(task.placement.machine_id))
+      placements.push_back(task.placement);
   }
-  // Places that were found for a move hold what all need.
-  if (!replica.on_move) {
-    leave_hold(id, now);
-    keep(id, replica, std::move(spots));
-    replica.reserved_until = now + settings_.wait_s;
+  // A gang that is moving already has reservations for all of its tasks.
+  if (!gang.is_moving) {
+    end_partial_hold(id, now);
+    set_reservations(id, gang, std::move(placements));
+    gang.reserved_until = now + settings_.start_timeout_s;
   }
-  enter(id, replica, Phase::stopping, now);
-  settle(id, replica, now);
-}
-
-void GangTracker::settle(const ReplicaId& id, Replica& replica, double now) {
-  const auto absent = [](const Task& member) { return member.state == State::absent; };
-  const auto runs = [](const Task& member) { return member.state == State::running; };
-  if (replica.phase == Phase::stopping && std::all_of(replica.tasks.begin(), replica.tasks.end(), absent))
-    return enter(id, replica, Phase::waiting, now);
-  if (replica.phase == Phase::starting && std::all_of(replica.tasks.begin(), replica.tasks.end(), runs)) {
-    replica.avoid.clear();
-    replica.hold_s = 0;
-    replica.on_move = false;
-    leave_hold(id, now);
-    keep(id, replica, {});
-    return enter(id, replica, Phase::whole, now);
+  enter_phase(id, gang, Phase::stopping, now);
+  update_phase(id, gang, now);
+}
+
+void GangTracker::update_phase(const GangId& id, Gang& gang, double now) {
+  const auto is_unassigned = [](const Task& task) { return task.state == State::unassigned; };
+  const auto is_running = [](const Task& task) { return task.state == State::running; };
+  if (gang.phase == Phase::stopping && std::all_of(gang.tasks.begin(), gang.tasks.end(), is_unassigned))
+    return enter_phase(id, gang, Phase::waiting, now);
+  if (gang.phase == Phase::starting && std::all_of(gang.tasks.begin(), gang.tasks.end(), is_running)) {
+    gang.excluded_machines.clear();
+    gang.hold_s = 0;
+    gang.is_moving = false;
+    end_partial_hold(id, now);
+    set_reservations(id, gang, {});
+    return enter_phase(id, gang, Phase::running, now);
   }
-  note(id, replica);
+  update_indexes(id, gang);
 }
 
-void GangTracker::on_task_found(const wire::TaskId& task_id, const Placement& spot, double now) {
-  const auto [id, place] = place_of(task_id);
-  auto* replica = find(id);
-  if (replica == nullptr) return;
-  replica->tasks[place] = {State::sent, spot, false, false};
-  if (replica->phase == Phase::stopping) {
-    actions_.push_back({Action::Kind::stop, id, task_id.index, spot.machine_id});
+void GangTracker::on_task_found(const wire::TaskId& task_id, const Placement& placement, double now) {
+  const auto [id, position] = locate(task_id);
+  auto* gang = find(id);
+  if (gang == nullptr) return;
+  gang->tasks[position] = {State::starting, placement, false, false};
+  if (gang->phase == Phase::stopping) {
+    actions_.push_back({Action::Kind::stop, id, task_id.index, placement.machine_id});
     return;
   }
-  if (replica->phase == Phase::waiting) {
-    leave_hold(id, now);
-    keep(id, *replica, {});
-    replica->on_move = false;
-    replica->deadline = -1;
-    enter(id, *replica, Phase::starting, now);
+  if (gang->phase == Phase::waiting) {
+    end_partial_hold(id, now);
+    set_reservations(id, *gang, {});
+    gang->is_moving = false;
+    gang->start_deadline = -1;
+    enter_phase(id, *gang, Phase::starting, now);
   }
-  note(id, *replica);
+  update_indexes(id, *gang);
 }
 
 void GangTracker::on_task_running(const wire::TaskId& task_id, double now) {
-  const auto [id, place] = place_of(task_id);
-  auto* replica = find(id);
-  if (replica == nullptr || replica->tasks[place].state != State::sent) return;
-  replica->tasks[place].state = State::running;
-  settle(id, *replica, now);
+  const auto [id, position] = locate(task_id);
+  auto* gang = find(id);
+  if (gang == nullptr || gang->tasks[position].state != State::starting) return;
+  gang->tasks[position].state = State::running;
+  update_phase(id, *gang, now);
 }
 
 void GangTracker::on_task_ended(const wire::TaskId& task_id, double now) {
-  const auto [id, place] = place_of(task_id);
-  auto* replica = find(id);
-  if (replica == nullptr || replica->tasks[place].state == State::absent) return;
-  replica->tasks[place] = {};
-  if (replica->phase == Phase::stopping)
-    settle(id, *replica, now);
+  const auto [id, position] = locate(task_id);
+  auto* gang = find(id);
+  if (gang == nullptr || gang->tasks[position].state == State::unassigned) return;
+  gang->tasks[position] = {};
+  if (gang->phase == Phase::stopping)
+    update_phase(id, *gang, now);
   else
-    stop(id, *replica, true, now);
+    stop_gang(id, *gang, true, now);
 }
 
 void GangTracker::on_task_failing(const wire::TaskId& task_id, double now) {
-  const auto [id, place] = place_of(task_id);
-  auto* replica = find(id);
-  if (replica == nullptr || replica->tasks[place].state == State::absent) return;
-  replica->tasks[place].leave = true;
-  stop(id, *replica, true, now);
+  const auto [id, position] = locate(task_id);
+  auto* gang = find(id);
+  if (gang == nullptr || gang->tasks[position].state == State::unassigned) return;
+  gang->tasks[position].must_leave = true;
+  stop_gang(id, *gang, true, now);
 }
 
-void GangTracker::request_move(const wire::TaskId& task_id, bool taken, double now) {
-  const auto [id, place] = place_of(task_id);
-  auto* replica = find(id);
-  if (replica == nullptr || replica->tasks[place].state == State::absent) return;
-  auto& there = replica->tasks[place];
-  there.leave = true;
-  there.taken = there.taken || taken;
-  // One that does not serve yet loses nothing.
-  if (replica->phase == Phase::starting) return stop(id, *replica, true, now);
-  note(id, *replica);
+void GangTracker::request_move(const wire::TaskId& task_id, bool preempted, double now) {
+  const auto [id, position] = locate(task_id);
+  auto* gang = find(id);
+  if (gang == nullptr || gang->tasks[position].state == State::unassigned) return;
+  auto& task = gang->tasks[position];
+  task.must_leave = true;
+  task.preempted = task.preempted || preempted;
+  // A gang that is still starting does not serve yet, so it is stopped at once.
+  if (gang->phase == Phase::starting) return stop_gang(id, *gang, true, now);
+  update_indexes(id, *gang);
 }
 
 void GangTracker::cancel_move_request(const wire::TaskId& task_id) {
-  const auto [id, place] = place_of(task_id);
-  auto* replica = find(id);
-  if (replica == nullptr) return;
-  replica->tasks[place].leave = replica->tasks[place].taken = false;
-  note(id, *replica);
-}
-
-void GangTracker::started(const PlacementRequest& want, const std::vector<Placement>& spots, double now) {
-  auto* replica = find(want.id);
-  if (replica == nullptr) return;
-  const auto wide = static_cast<std::uint32_t>(replica->tasks.size());
-  for (std::size_t i = 0; i < want.tasks.size(); ++i)
-    replica->tasks[want.tasks[i] % wide] = {State::sent, spots[i], false, false};
-  leave_hold(want.id, now);
-  keep(want.id, *replica, {});
-  replica->on_move = false;
-  // One that was found half is completed within the time that began when it was found.
-  if (replica->phase != Phase::starting || replica->deadline < 0)
-    replica->deadline = now + settings_.wait_s + kFetchSpread * jobs_.at(want.id.first).image_pull_s;
-  enter(want.id, *replica, Phase::starting, now);
-}
-
-void GangTracker::moving(const ReplicaId& id, const std::vector<Placement>& spots, double now) {
-  auto* replica = find(id);
-  if (replica == nullptr || replica->phase != Phase::whole) return;
-  keep(id, *replica, spots);
-  replica->reserved_until = now + settings_.wait_s;
-  replica->on_move = true;
-  replica->moved_at = now;
-  stop(id, *replica, true, now);
-}
-
-bool GangTracker::reserve_partial(const ReplicaId& id, const std::vector<Placement>& partial, double now) {
-  auto* replica = find(id);
-  if (replica == nullptr || replica->phase != Phase::waiting) return false;
-  // One at a time: two that each keep a part of what the other lacks would wait for each other.
-  const bool its_turn = !holder_ && !(held_last_ == id && now < held_until_ + settings_.wait_s);
-  if (holder_ != id && !its_turn) {
-    replica->on_move = false;
-    keep(id, *replica, {});
+  const auto [id, position] = locate(task_id);
+  auto* gang = find(id);
+  if (gang == nullptr) return;
+  gang->tasks[position].must_leave = gang->tasks[position].preempted = false;
+  update_indexes(id, *gang);
+}
+
+void GangTracker::on_gang_placed(const PlacementRequest& request, const std::vector<Placement>& placements,
+                                 double now) {
+  auto* gang = find(request.id);
+  if (gang == nullptr) return;
+  const auto tasks_per_gang = static_cast<std::uint32_t>(gang->tasks.size());
+  for (std::size_t i = 0; i < request.tasks.size(); ++i)
+    gang->tasks[request.tasks[i] % tasks_per_gang] = {State::starting, placements[i], false, false};
+  end_partial_hold(request.id, now);
+  set_reservations(request.id, *gang, {});
+  gang->is_moving = false;
+  // A partly running gang from an earlier term keeps the deadline that was set after it was found.
+  if (gang->phase != Phase::starting || gang->start_deadline < 0)
+    gang->start_deadline =
+        now + settings_.start_timeout_s + kImagePullMargin * jobs_.at(request.id.first).image_pull_s;
+  enter_phase(request.id, *gang, Phase::starting, now);
+}
+
+void GangTracker::begin_move(const GangId& id, const std::vector<Placement>& placements, double now) {
+  auto* gang = find(id);
+  if (gang == nullptr || gang->phase != Phase::running) return;
+  set_reservations(id, *gang, placements);
+  gang->reserved_until = now + settings_.start_timeout_s;
+  gang->is_moving = true;
+  gang->last_moved_at = now;
+  stop_gang(id, *gang, true, now);
+}
+
+bool GangTracker::reserve_partial(const GangId& id, const std::vector<Placement>& partial, double now) {
+  auto* gang = find(id);
+  if (gang == nullptr || gang->phase != Phase::waiting) return false;
+  // Only one gang may hold a partial reservation: two gangs that each reserve a part of what the other one
+  // needs would wait for each other.
+  const bool may_hold = !partial_holder_ && !(last_partial_holder_ == id &&
+                                              now < last_partial_hold_ended_at_ + settings_.start_timeout_s);
+  if (partial_holder_ != id && !may_hold) {
+    gang->is_moving = false;
+    set_reservations(id, *gang, {});
     return false;
   }
-  if (!holder_) {
-    holder_ = id;
-    // Longer each time in vain: what it waits for may take long to end.
-    replica->hold_s =
-        std::clamp(2 * replica->hold_s, settings_.wait_s, settings_.longest_hold * settings_.wait_s);
-    replica->reserved_until = now + replica->hold_s;
+  if (!partial_holder_) {
+    partial_holder_ = id;
+    // The reservation lasts longer each time: the tasks that occupy the machines may run for long.
+    gang->hold_s = std::clamp(2 * gang->hold_s, settings_.start_timeout_s,
+                              settings_.max_hold_factor * settings_.start_timeout_s);
+    gang->reserved_until = now + gang->hold_s;
   }
-  replica->on_move = false;
-  keep(id, *replica, partial);
+  gang->is_moving = false;
+  set_reservations(id, *gang, partial);
   return true;
 }
 
-void GangTracker::evict(const ReplicaId& id, double now) {
-  auto* replica = find(id);
-  if (replica == nullptr || replica->phase == Phase::waiting) return;
-  replica->not_before = now + settings_.wait_s;
-  stop(id, *replica, false, now);
+void GangTracker::evict(const GangId& id, double now) {
+  auto* gang = find(id);
+  if (gang == nullptr || gang->phase == Phase::waiting) return;
+  gang->not_before = now + settings_.start_timeout_s;
+  stop_gang(id, *gang, false, now);
 }
 
-void GangTracker::look(double now) {
-  if (holder_) {
-    const auto* replica = find(*holder_);
-    if (replica == nullptr || now >= replica->reserved_until) leave_hold(ReplicaId(*holder_), now);
+void GangTracker::process_timeouts(double now) {
+  if (partial_holder_) {
+    const auto* gang = find(*partial_holder_);
+    if (gang == nullptr || now >= gang->reserved_until) end_partial_hold(GangId(*partial_holder_), now);
   }
-  // An order may be lost, and a heartbeat be longer than the peers have.
+  // Stop commands are repeated because one may be lost, and the next heartbeat may come after the time within
+  // which the peers must stop.
   for (const auto& id : stopping_)
-    if (auto* replica = find(id); now >= replica->stopped_at + settings_.peer_s / 2)
-      order_stops(id, *replica, now);
-  for (const auto& id : std::set<ReplicaId>(keeping_)) {
-    auto* replica = find(id);
-    if (replica == nullptr || now < replica->reserved_until) continue;
-    replica->on_move = false;
-    keep(id, *replica, {});
+    if (auto* gang = find(id); now >= gang->stops_issued_at + settings_.peer_stop_timeout_s / 2)
+      issue_stops(id, *gang, now);
+  for (const auto& id : std::set<GangId>(reserving_)) {
+    auto* gang = find(id);
+    if (gang == nullptr || now < gang->reserved_until) continue;
+    gang->is_moving = false;
+    set_reservations(id, *gang, {});
   }
 }
 
-// One that is not whole in time is stopped, and goes where it did not fail to start.
-void GangTracker::judge(const ReplicaId& id, double now) {
-  auto* replica = find(id);
-  if (replica == nullptr || replica->phase != Phase::starting) return;
-  // One that was placed member by member and then lost some cannot be completed.
-  if (replica->deadline < 0 && split(*replica)) return stop(id, *replica, true, now);
-  if (replica->deadline < 0)
-    replica->deadline = now + settings_.wait_s + kFetchSpread * jobs_.at(id.first).image_pull_s;
-  if (now < replica->deadline) return;
-  for (const auto& member : replica->tasks)
-    if (member.state == State::sent) replica->avoid.insert(member.placement.machine_id);
-  // Where it fails everywhere, nowhere is better than where it was.
-  if (replica->avoid.size() > 4 * replica->tasks.size()) replica->avoid.clear();
-  stop(id, *replica, true, now);
-}
-
-std::vector<PlacementRequest> GangTracker::placement_requests(const wire::JobId& job, std::size_t most,
+// Stops a gang whose tasks do not all run in time, and excludes the machines on which a task did not start.
+void GangTracker::check_start_deadline(const GangId& id, double now) {
+  auto* gang = find(id);
+  if (gang == nullptr || gang->phase != Phase::starting) return;
+  // A gang whose tasks were placed one by one and which has lost some of them can't be completed.
+  if (gang->start_deadline < 0 && is_split(*gang)) return stop_gang(id, *gang, true, now);
+  if (gang->start_deadline < 0)
+    gang->start_deadline =
+        now + settings_.start_timeout_s + kImagePullMargin * jobs_.at(id.first).image_pull_s;
+  if (now < gang->start_deadline) return;
+  for (const auto& task : gang->tasks)
+    if (task.state == State::starting) gang->excluded_machines.insert(task.placement.machine_id);
+  // If tasks fail to start on many machines, the exclusions do not help: all machines are allowed again.
+  if (gang->excluded_machines.size() > 4 * gang->tasks.size()) gang->excluded_machines.clear();
+  stop_gang(id, *gang, true, now);
+}
+
+std::vector<PlacementRequest> GangTracker::placement_requests(const wire::JobId& job, std::size_t limit,
                                                               double now) const {
   std::vector<PlacementRequest> result;
   const auto found = jobs_.find(job);
   if (found == jobs_.end()) return result;
   std::vector<std::pair<std::size_t, std::uint32_t>> order;
-  for (const auto number : found->second.open) {
-    const auto& replica = found->second.replicas[number];
-    if (now < replica.not_before) continue;
-    const auto there = std::count_if(replica.tasks.begin(), replica.tasks.end(),
-                                     [](const Task& member) { return member.state != State::absent; });
-    // One that is half there comes first: its members count for nothing until it is whole.
-    order.emplace_back(replica.tasks.size() - static_cast<std::size_t>(there) - replica.reserved.size(),
-                       number);
+  for (const auto number : found->second.placeable_gangs) {
+    const auto& gang = found->second.gangs[number];
+    if (now < gang.not_before) continue;
+    const auto assigned = std::count_if(gang.tasks.begin(), gang.tasks.end(),
+                                        [](const Task& task) { return task.state != State::unassigned; });
+    // Partly placed gangs come first: their tasks do not serve until all of them run.
+    order.emplace_back(gang.tasks.size() - static_cast<std::size_t>(assigned) - gang.reserved.size(), number);
   }
-  const auto count = std::min(most, order.size());
+  const auto count = std::min(limit, order.size());
   std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(count), order.end());
   order.resize(count);
-  for (const auto& [lacks, number] : order) {
-    const auto& replica = found->second.replicas[number];
-    PlacementRequest want{{job, number}, {}, replica.reserved, {}, {}, replica.avoid};
-    for (std::uint32_t i = 0; i < replica.tasks.size(); ++i) {
-      const auto& member = replica.tasks[i];
-      if (member.state == State::absent) {
-        want.tasks.push_back(number * found->second.span + i);
+  for (const auto& [missing, number] : order) {
+    const auto& gang = found->second.gangs[number];
+    PlacementRequest request{{job, number}, {}, gang.reserved, {}, {}, gang.excluded_machines};
+    for (std::uint32_t i = 0; i < gang.tasks.size(); ++i) {
+      const auto& task = gang.tasks[i];
+      if (task.state == State::unassigned) {
+        request.tasks.push_back(number * found->second.span + i);
         continue;
       }
-      want.peers.insert(member.placement.machine_id);
-      want.zone = member.placement.zone;
+      request.peer_machines.insert(task.placement.machine_id);
+      request.zone = task.placement.zone;
     }
-    result.push_back(std::move(want));
+    result.push_back(std::move(request));
   }
   return result;
 }
 
 std::vector<Move> GangTracker::allowed_moves(double now) const {
   std::vector<Move> result;
-  std::map<wire::JobId, std::size_t> chosen;
-  for (const auto& id : leavers_) {
-    const auto* replica = find(id);
+  std::map<wire::JobId, std::size_t> moving;
+  for (const auto& id : needing_move_) {
+    const auto* gang = find(id);
     const auto& job = jobs_.at(id.first);
-    const bool taken = std::any_of(replica->tasks.begin(), replica->tasks.end(), [](const Task& member) {
-      return member.state != State::absent && member.taken;
+    const bool preempted = std::any_of(gang->tasks.begin(), gang->tasks.end(), [](const Task& task) {
+      return task.state != State::unassigned && task.preempted;
     });
-    // What the cloud takes ends anyway. All else waits for its turn, and the last whole one stays.
-    if (!taken) {
-      const auto serving = running_gangs(id.first) - chosen[id.first];
-      const auto out = job.replicas.size() - serving;
-      const auto most = std::max<std::size_t>(
-          1, static_cast<std::size_t>(settings_.moving * static_cast<double>(job.replicas.size())));
-      if (now < replica->moved_at + settings_.again_s || out >= most || serving <= 1) continue;
+    // A task on a machine that the cloud preempts ends in any case, so its gang may be moved at any time. All
+    // other moves are limited in number and interval, and the last running gang of a job is not moved.
+    if (!preempted) {
+      const auto remaining = running_gangs(id.first) - moving[id.first];
+      const auto not_running = job.gangs.size() - remaining;
+      const auto max_moving = std::max<std::size_t>(
+          1, static_cast<std::size_t>(settings_.max_moving_fraction * static_cast<double>(job.gangs.size())));
+      if (now < gang->last_moved_at + settings_.min_move_interval_s || not_running >= max_moving ||
+          remaining <= 1)
+        continue;
     }
-    // Of one that is split those stay that are in the zone of most, on machines of their own.
+    // Of a split gang, the tasks stay that are in the zone with the most of its machines, one per machine.
     std::map<std::string, std::set<wire::MachineId>> machine_ids;
-    for (const auto& member : replica->tasks)
-      if (!member.leave) machine_ids[member.placement.zone].insert(member.placement.machine_id);
+    for (const auto& task : gang->tasks)
+      if (!task.must_leave) machine_ids[task.placement.zone].insert(task.placement.machine_id);
     const auto zone =
         std::max_element(machine_ids.begin(), machine_ids.end(),
                          [](const auto& a, const auto& b) { return a.second.size() < b.second.size(); });
     Move move{id, {}, {}};
-    for (std::uint32_t i = 0; i < replica->tasks.size(); ++i) {
-      const auto& member = replica->tasks[i];
-      if (!member.leave && zone != machine_ids.end() && member.placement.zone == zone->first &&
-          zone->second.erase(member.placement.machine_id) > 0)
-        move.staying.push_back(member.placement);
+    for (std::uint32_t i = 0; i < gang->tasks.size(); ++i) {
+      const auto& task = gang->tasks[i];
+      if (!task.must_leave && zone != machine_ids.end() && task.placement.zone == zone->first &&
+          zone->second.erase(task.placement.machine_id) > 0)
+        move.staying.push_back(task.placement);
       else
         move.leaving_tasks.push_back(id.second * job.span + i);
     }
-    ++chosen[id.first];
+    ++moving[id.first];
     result.push_back(std::move(move));
   }
   return result;
 }
 
-bool GangTracker::leaving(const wire::JobId& job) const {
-  const auto first = leavers_.lower_bound({job, 0});
-  return first != leavers_.end() && first->first == job;
+bool GangTracker::has_gang_to_move(const wire::JobId& job) const {
+  const auto first = needing_move_.lower_bound({job, 0});
+  return first != needing_move_.end() && first->first == job;
 }
 
-std::optional<Phase> GangTracker::phase(const ReplicaId& id) const {
-  const auto* replica = find(id);
-  if (replica == nullptr) return std::nullopt;
-  return replica->phase;
+std::optional<Phase> GangTracker::phase(const GangId& id) const {
+  const auto* gang = find(id);
+  if (gang == nullptr) return std::nullopt;
+  return gang->phase;
 }
 
 std::size_t GangTracker::running_gangs(const wire::JobId& job) const {
   const auto found = jobs_.find(job);
   if (found == jobs_.end()) return 0;
   return static_cast<std::size_t>(
-      std::count_if(found->second.replicas.begin(), found->second.replicas.end(),
-                    [](const Replica& replica) { return replica.phase == Phase::whole; }));
+      std::count_if(found->second.gangs.begin(), found->second.gangs.end(),
+                    [](const Gang& gang) { return gang.phase == Phase::running; }));
 }
 
 }  // namespace bankhill::gang
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -1,4 +1,4 @@
-// Replicas that span machines: the board and the search for places against a model of machines, seeded.
+// Tests of GangTracker, GangScheduler and the placement search against a model of machines, with fixed seeds.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -8,23 +8,23 @@
 namespace bankhill::gang {
 namespace {
 
-constexpr double kWait = 20;
+constexpr double kStartTimeoutS = 20;
 constexpr std::uint32_t kSpan = 3;
 
-wire::JobSpec service(const std::string& job_id, std::uint32_t members, double cores) {
+wire::JobSpec service_job(const std::string& job_id, std::uint32_t tasks, double cores) {
   wire::JobSpec spec;
   spec.id = {job_id};
   spec.kind = wire::JobKind::service;
-  spec.task_count = members;
+  spec.task_count = tasks;
   spec.request = {cores, 0, cores};
   spec.image = job_id;
   return spec;
 }
 
-wire::MachineId host(int number) { return {"n-" + std::to_string(100 + number)}; }
+wire::MachineId make_machine_id(int number) { return {"n-" + std::to_string(100 + number)}; }
 
 model::Machine& add_machine(model::Fleet& fleet, int number, const std::string& zone, double cores) {
-  auto& machine = *fleet.add(host(number)).first;
+  auto& machine = *fleet.add(make_machine_id(number)).first;
   machine.machine_type = "big";
   machine.zone = zone;
   machine.capacity = {cores, 0, 4 * cores};
@@ -33,7 +33,7 @@
   return machine;
 }
 
-GangConstraints site_of(const wire::JobSpec& spec) {
+GangConstraints constraints_for(const wire::JobSpec& spec) {
   return {spec,
           "a",
           [](const model::Pool&) { return 2.0; },
@@ -42,457 +42,473 @@
           [](std::uint32_t, const wire::MachineId&) { return false; }};
 }
 
-// What a leader does with the placer's words, and machines that do as they are told.
+// A leader that carries out what GangScheduler returns, and machines that execute every command.
 struct Model {
-  explicit Model(GangTracker::Settings settings = {kWait, 4, 30, 0.25, 8}) : placer(settings) {}
+  explicit Model(GangTracker::Settings settings = {kStartTimeoutS, 4, 30, 0.25, 8}) : scheduler(settings) {}
 
   void add(const wire::JobSpec& spec, std::uint32_t span = kSpan) {
     jobs[spec.id] = spec;
-    placer.add_job(spec, span, 0);
+    scheduler.add_job(spec, span, 0);
   }
-  void bind(const wire::TaskId& task_id, const wire::MachineId& at) {
-    auto& machine = *fleet.find(at);
-    ASSERT_TRUE(where.emplace(task_id, at).second) << task_id.text() << " is started twice";
+  void assign_task(const wire::TaskId& task_id, const wire::MachineId& machine_id) {
+    auto& machine = *fleet.find(machine_id);
+    ASSERT_TRUE(assignments.emplace(task_id, machine_id).second) << task_id.text() << " is started twice";
     machine.used += jobs.at(task_id.job).request;
-    EXPECT_LE(machine.used.cores, machine.capacity.cores) << at.value;
+    EXPECT_LE(machine.used.cores, machine.capacity.cores) << machine_id.value;
     fleet.refresh(machine);
   }
-  void unbind(const wire::TaskId& task_id) {
-    const auto found = where.find(task_id);
-    if (found == where.end()) return;
+  void end_task(const wire::TaskId& task_id) {
+    const auto found = assignments.find(task_id);
+    if (found == assignments.end()) return;
     if (auto* machine = fleet.find(found->second)) {
       machine->used -= jobs.at(task_id.job).request;
       fleet.refresh(*machine);
     }
-    where.erase(found);
+    assignments.erase(found);
     stopping.erase(task_id);
-    placer.tracker().on_task_ended(task_id, now);
+    scheduler.tracker().on_task_ended(task_id, now);
   }
-  void act() {
-    placer.tracker().advance(now, [this](const wire::JobId&) { return settled; });
-    for (const auto& action : placer.apply_reservations(fleet))
+  void apply_actions() {
+    scheduler.tracker().advance(now, [this](const wire::JobId&) { return all_confirmed; });
+    for (const auto& action : scheduler.apply_reservations(fleet))
       stopping.insert({action.gang_id.first, action.task_index});
   }
-  void place() {
-    act();
+  void run_placement_pass() {
+    apply_actions();
     for (const auto& [id, spec] : jobs) {
-      for (const auto& want : placer.tracker().placement_requests(id, 4, now)) {
-        const auto start = placer.place_gang(fleet, want, site_of(spec), now);
-        act();
+      for (const auto& request : scheduler.tracker().placement_requests(id, 4, now)) {
+        const auto start = scheduler.place_gang(fleet, request, constraints_for(spec), now);
+        apply_actions();
         if (!start) continue;
-        std::set<wire::MachineId> machine_ids = want.peers;
+        std::set<wire::MachineId> machine_ids = request.peer_machines;
         std::set<std::string> zones;
-        if (!want.zone.empty()) zones.insert(want.zone);
-        for (const auto& [index, at] : start->tasks) {
-          EXPECT_TRUE(machine_ids.insert(at).second) << "two members on " << at.value;
-          zones.insert(fleet.find(at)->zone);
-          bind({id, index}, at);
+        if (!request.zone.empty()) zones.insert(request.zone);
+        for (const auto& [index, machine_id] : start->tasks) {
+          EXPECT_TRUE(machine_ids.insert(machine_id).second) << "two members on " << machine_id.value;
+          zones.insert(fleet.find(machine_id)->zone);
+          assign_task({id, index}, machine_id);
         }
         EXPECT_EQ(machine_ids.size(), kSpan);
         EXPECT_EQ(zones.size(), 1U);
       }
     }
-    for (const auto& move : placer.tracker().allowed_moves(now)) {
-      placer.begin_move(fleet, move, site_of(jobs.at(move.id.first)), now);
-      act();
+    for (const auto& move : scheduler.tracker().allowed_moves(now)) {
+      scheduler.begin_move(fleet, move, constraints_for(jobs.at(move.id.first)), now);
+      apply_actions();
     }
   }
-  void run_all() {
-    for (const auto& [task_id, at] : where)
-      if (!stopping.contains(task_id)) placer.tracker().on_task_running(task_id, now);
+  void report_all_running() {
+    for (const auto& [task_id, machine_id] : assignments)
+      if (!stopping.contains(task_id)) scheduler.tracker().on_task_running(task_id, now);
   }
-  void stop_all() {
-    for (const auto& task_id : std::set<wire::TaskId>(stopping)) unbind(task_id);
+  void end_stopping_tasks() {
+    for (const auto& task_id : std::set<wire::TaskId>(stopping)) end_task(task_id);
   }
-  // Until nothing changes any more.
-  void calm(double seconds) {
+  // Runs placement passes without faults, one a second; all started tasks run and all stopped tasks end.
+  void run_for(double seconds) {
     for (const double until = now + seconds; now < until; now += 1) {
-      place();
-      run_all();
-      stop_all();
-      place();
+      run_placement_pass();
+      report_all_running();
+      end_stopping_tasks();
+      run_placement_pass();
     }
   }
-  double kept() {
+  double reserved_cores() {
     double sum = 0;
     for (auto& [id, machine] : fleet) sum += machine.reserved.cores;
     return sum;
   }
 
   model::Fleet fleet;
-  GangScheduler placer;
+  GangScheduler scheduler;
   std::map<wire::JobId, wire::JobSpec> jobs;
-  std::map<wire::TaskId, wire::MachineId> where;
+  std::map<wire::TaskId, wire::MachineId> assignments;
   std::set<wire::TaskId> stopping;
   double now = 0;
-  bool settled = true;
+  bool all_confirmed = true;
 };
 
-wire::TaskId member(std::uint32_t index, const std::string& job = "job-000001") { return {{job}, index}; }
-const ReplicaId kFirst{{"job-000001"}, 0};
+wire::TaskId make_task_id(std::uint32_t index, const std::string& job = "job-000001") {
+  return {{job}, index};
+}
+const GangId kFirstGang{{"job-000001"}, 0};
 
-TEST(Replicas, AllPlacesAtOnceOrNone) {
+TEST(Replicas, PlacesAllTasksOrNone) {
   Model model;
-  // Enough machines, but no zone has three; and one machine alone would have room for all.
+  // There are four machines, but no zone has three. One of them alone could hold all three tasks.
   add_machine(model.fleet, 1, "a", 64);
   add_machine(model.fleet, 2, "a", 16);
   add_machine(model.fleet, 3, "b", 16);
   add_machine(model.fleet, 4, "b", 16);
-  model.add(service("job-000001", 3, 8));
-  model.place();
-  EXPECT_TRUE(model.where.empty());
-  const auto lacks = model.placer.shortages(model.now);
-  ASSERT_TRUE(lacks.contains({"job-000001"}));
-  EXPECT_EQ(lacks.at({"job-000001"}).machines, 1U);
+  model.add(service_job("job-000001", 3, 8));
+  model.run_placement_pass();
+  EXPECT_TRUE(model.assignments.empty());
+  const auto shortages = model.scheduler.shortages(model.now);
+  ASSERT_TRUE(shortages.contains({"job-000001"}));
+  EXPECT_EQ(shortages.at({"job-000001"}).machines, 1U);
   add_machine(model.fleet, 5, "b", 16);
-  model.place();
-  EXPECT_EQ(model.where.size(), 3U);
-  model.run_all();
-  EXPECT_EQ(model.placer.tracker().phase(kFirst), Phase::whole);
-  model.act();
-  EXPECT_EQ(model.kept(), 0);
+  model.run_placement_pass();
+  EXPECT_EQ(model.assignments.size(), 3U);
+  model.report_all_running();
+  EXPECT_EQ(model.scheduler.tracker().phase(kFirstGang), Phase::running);
+  model.apply_actions();
+  EXPECT_EQ(model.reserved_cores(), 0);
 }
 
-TEST(Replicas, MembersThatMakeNoReplicaStayQueued) {
+TEST(Replicas, LeftoverTasksStayQueued) {
   Model model;
   for (int i = 0; i < 9; ++i) add_machine(model.fleet, i, "a", 16);
-  model.add(service("job-000001", 8, 8));
-  EXPECT_EQ(model.placer.tracker().unusable_tasks({"job-000001"}), 2U);
-  model.calm(5);
-  EXPECT_EQ(model.where.size(), 6U);
+  model.add(service_job("job-000001", 8, 8));
+  EXPECT_EQ(model.scheduler.tracker().unusable_tasks({"job-000001"}), 2U);
+  model.run_for(5);
+  EXPECT_EQ(model.assignments.size(), 6U);
 }
 
-// One that fails, or whose machine is given up, ends the others; only its place is a new one, and the weights
-// stay where they are.
-TEST(Replicas, RepairedAsOneWhereTheWeightsAre) {
+// When a task's machine is terminated, the whole gang is stopped. It is restarted on the machines of the
+// other tasks, which hold the image, and one new machine.
+TEST(Replicas, RestartsOnMachinesThatHoldTheImage) {
   Model model;
   for (int i = 0; i < 5; ++i) add_machine(model.fleet, i, "a", 16);
-  model.add(service("job-000001", 3, 16));
-  model.calm(2);
-  ASSERT_EQ(model.where.size(), 3U);
+  model.add(service_job("job-000001", 3, 16));
+  model.run_for(2);
+  ASSERT_EQ(model.assignments.size(), 3U);
   std::set<wire::MachineId> before;
-  for (const auto& [id, at] : model.where) {
-    before.insert(at);
-    model.fleet.add_image(*model.fleet.find(at), "job-000001");
+  for (const auto& [id, machine_id] : model.assignments) {
+    before.insert(machine_id);
+    model.fleet.add_image(*model.fleet.find(machine_id), "job-000001");
   }
-  const auto lost = model.where.at(member(1));
-  model.fleet.find(lost)->terminating = true;
-  model.fleet.refresh(*model.fleet.find(lost));
-  model.placer.tracker().on_task_failing(member(1), model.now);
-  model.place();
+  const auto lost_machine = model.assignments.at(make_task_id(1));
+  model.fleet.find(lost_machine)->terminating = true;
+  model.fleet.refresh(*model.fleet.find(lost_machine));
+  model.scheduler.tracker().on_task_failing(make_task_id(1), model.now);
+  model.run_placement_pass();
   EXPECT_EQ(model.stopping.size(), 3U) << "its peers go on";
-  // Not before the lost one is proven gone: else it could run twice.
-  model.stopping.erase(member(1));
-  model.stop_all();
-  model.place();
-  EXPECT_EQ(model.where.size(), 1U);
-  model.unbind(member(1));
-  model.place();
-  ASSERT_EQ(model.where.size(), 3U);
+  // The gang is not restarted before the lost task is confirmed to have ended: it could run twice otherwise.
+  model.stopping.erase(make_task_id(1));
+  model.end_stopping_tasks();
+  model.run_placement_pass();
+  EXPECT_EQ(model.assignments.size(), 1U);
+  model.end_task(make_task_id(1));
+  model.run_placement_pass();
+  ASSERT_EQ(model.assignments.size(), 3U);
   std::size_t stayed = 0;
-  for (const auto& [id, at] : model.where) stayed += before.contains(at) ? 1 : 0;
+  for (const auto& [id, machine_id] : model.assignments) stayed += before.contains(machine_id) ? 1 : 0;
   EXPECT_EQ(stayed, 2U);
-  EXPECT_NE(model.where.at(member(1)), lost);
+  EXPECT_NE(model.assignments.at(make_task_id(1)), lost_machine);
 }
 
-// A member that its machine still lists as ended is refused there: the members change places.
-TEST(Replicas, MembersChangePlacesWhereAnEarlierAttemptIsListed) {
-  const std::vector<std::uint32_t> members = {0, 1, 2};
-  const std::vector<Placement> spots = {{host(0), "a"}, {host(1), "a"}, {host(2), "a"}};
-  const auto result = assign(members, spots, [](std::uint32_t index, const wire::MachineId& at) {
-    return at == host(static_cast<int>(index));
-  });
+// An agent refuses to start a task while it lists an ended attempt of it. The tasks of the gang are then
+// assigned to the placements in a different order.
+TEST(Replicas, TasksSwapMachinesThatListAnEarlierAttempt) {
+  const std::vector<std::uint32_t> tasks = {0, 1, 2};
+  const std::vector<Placement> placements = {
+      {make_machine_id(0), "a"}, {make_machine_id(1), "a"}, {make_machine_id(2), "a"}};
+  const auto result =
+      assign_placements(tasks, placements, [](std::uint32_t index, const wire::MachineId& machine_id) {
+        return machine_id == make_machine_id(static_cast<int>(index));
+      });
   ASSERT_EQ(result.size(), 3U);
-  for (int i = 0; i < 3; ++i) EXPECT_NE(result[static_cast<std::size_t>(i)].machine_id, host(i));
-  EXPECT_TRUE(
-      assign(members, spots, [](std::uint32_t index, const wire::MachineId&) { return index == 1; }).empty());
+  for (int i = 0; i < 3; ++i) EXPECT_NE(result[static_cast<std::size_t>(i)].machine_id, make_machine_id(i));
+  EXPECT_TRUE(assign_placements(tasks, placements, [](std::uint32_t index, const wire::MachineId&) {
+                return index == 1;
+              }).empty());
 }
 
-// One that does not come to be whole is stopped and goes to other machines.
-TEST(Replicas, NotWholeInTimeGoesElsewhere) {
+// A gang is stopped if not all of its tasks run in time. It is restarted without the machine of the task that
+// did not start.
+TEST(Replicas, StartTimeoutExcludesTheMachine) {
   Model model;
   for (int i = 0; i < 4; ++i) add_machine(model.fleet, i, "a", 16);
-  model.add(service("job-000001", 3, 16));
-  model.place();
-  ASSERT_EQ(model.where.size(), 3U);
-  const auto dumb = model.where.at(member(2));
-  model.placer.tracker().on_task_running(member(0), model.now);
-  model.placer.tracker().on_task_running(member(1), model.now);
-  model.now += kWait + 1;
-  model.place();
+  model.add(service_job("job-000001", 3, 16));
+  model.run_placement_pass();
+  ASSERT_EQ(model.assignments.size(), 3U);
+  const auto failed_machine = model.assignments.at(make_task_id(2));
+  model.scheduler.tracker().on_task_running(make_task_id(0), model.now);
+  model.scheduler.tracker().on_task_running(make_task_id(1), model.now);
+  model.now += kStartTimeoutS + 1;
+  model.run_placement_pass();
   EXPECT_EQ(model.stopping.size(), 3U);
-  model.stop_all();
-  model.place();
-  ASSERT_EQ(model.where.size(), 3U);
-  for (const auto& [id, at] : model.where) EXPECT_NE(at, dumb);
+  model.end_stopping_tasks();
+  model.run_placement_pass();
+  ASSERT_EQ(model.assignments.size(), 3U);
+  for (const auto& [id, machine_id] : model.assignments) EXPECT_NE(machine_id, failed_machine);
 }
 
-// Two that each hold a part of what the other lacks would wait for each other.
-TEST(Replicas, NoTwoWaitForEachOther) {
+// Two gangs that each reserve a part of what the other one needs would wait for each other forever.
+TEST(Replicas, GangsDoNotDeadlockOnPartialReservations) {
   Model model;
   for (int i = 0; i < 4; ++i) add_machine(model.fleet, i, "a", 16);
-  model.add(service("job-000001", 3, 16));
-  model.add(service("job-000002", 3, 16));
-  model.calm(3);
-  EXPECT_EQ(model.where.size(), 3U);
-  // Both have lost a member, and with it a machine.
+  model.add(service_job("job-000001", 3, 16));
+  model.add(service_job("job-000002", 3, 16));
+  model.run_for(3);
+  EXPECT_EQ(model.assignments.size(), 3U);
+  // Each gang loses a task and the machine that it ran on.
   add_machine(model.fleet, 4, "a", 16);
   add_machine(model.fleet, 5, "a", 16);
-  model.calm(kWait);
-  ASSERT_EQ(model.where.size(), 6U);
-  for (const auto& lost : {member(0), member(0, "job-000002")}) {
-    auto& machine = *model.fleet.find(model.where.at(lost));
+  model.run_for(kStartTimeoutS);
+  ASSERT_EQ(model.assignments.size(), 6U);
+  for (const auto& lost : {make_task_id(0), make_task_id(0, "job-000002")}) {
+    auto& machine = *model.fleet.find(model.assignments.at(lost));
     machine.up = false;
     model.fleet.refresh(machine);
-    model.unbind(lost);
+    model.end_task(lost);
   }
-  model.calm(3);
-  EXPECT_EQ(model.where.size(), 3U) << "one of the two can run";
+  model.run_for(3);
+  EXPECT_EQ(model.assignments.size(), 3U) << "one of the two can run";
 }
 
-// Small work takes each bit of room as it comes free: room for all members comes only where it is kept, and
-// no longer than stated.
-TEST(Replicas, SmallWorkDoesNotPassItForEver) {
+// Small tasks take all resources as soon as they become free, so a gang can be placed only by reserving
+// resources. Guards against starvation of the gang, and checks the time that it waits.
+TEST(Replicas, SmallTasksDoNotStarveAGang) {
   Model model;
   for (int i = 0; i < 3; ++i) add_machine(model.fleet, i, "a", 16).used = {16, 0, 0};
   for (auto& [id, machine] : model.fleet) model.fleet.refresh(machine);
-  const auto small = service("job-000009", 1, 2);
-  model.add(service("job-000001", 3, 16));
-  int taken = 0;
-  double whole_at = 0;
-  for (int step = 0; step < 100 && whole_at == 0; ++step) {
+  const auto small = service_job("job-000009", 1, 2);
+  model.add(service_job("job-000001", 3, 16));
+  int small_started = 0;
+  double running_at = 0;
+  for (int step = 0; step < 100 && running_at == 0; ++step) {
     model.now += 1;
-    // A small task ends on each machine in turn, and others take any room there is.
-    auto& machine = *model.fleet.find(host(step % 3));
-    if (machine.used.cores > 0 && model.where.empty()) machine.used.cores -= 2;
+    // A small task ends on each machine in turn, and other small tasks take all free resources.
+    auto& machine = *model.fleet.find(make_machine_id(step % 3));
+    if (machine.used.cores > 0 && model.assignments.empty()) machine.used.cores -= 2;
     model.fleet.refresh(machine);
-    model.place();
+    model.run_placement_pass();
     for (auto& [id, other] : model.fleet)
       if (other.available().cores >= 2) {
         other.used.cores += 2;
-        ++taken;
+        ++small_started;
         model.fleet.refresh(other);
       }
-    model.run_all();
-    if (model.placer.tracker().phase(kFirst) == Phase::whole) whole_at = model.now;
+    model.report_all_running();
+    if (model.scheduler.tracker().phase(kFirstGang) == Phase::running) running_at = model.now;
   }
-  EXPECT_GT(whole_at, 0) << taken << " small tasks passed it";
-  // A hold in vain, its pause and the time that the tasks of a machine take to end.
-  EXPECT_LE(whole_at, 2 * kWait + 26);
+  EXPECT_GT(running_at, 0) << small_started << " small tasks passed it";
+  // One partial reservation that expires, the pause after it, and the time that the tasks of a machine take
+  // to end.
+  EXPECT_LE(running_at, 2 * kStartTimeoutS + 26);
 }
 
-TEST(Replicas, RoomIsKeptForABoundedTime) {
+TEST(Replicas, PartialReservationExpires) {
   Model model;
   add_machine(model.fleet, 1, "a", 16);
   add_machine(model.fleet, 2, "a", 16);
-  model.add(service("job-000001", 3, 16));
-  model.place();
-  EXPECT_EQ(model.kept(), 32);
-  model.now += kWait - 1;
-  model.place();
-  EXPECT_EQ(model.kept(), 32);
+  model.add(service_job("job-000001", 3, 16));
+  model.run_placement_pass();
+  EXPECT_EQ(model.reserved_cores(), 32);
+  model.now += kStartTimeoutS - 1;
+  model.run_placement_pass();
+  EXPECT_EQ(model.reserved_cores(), 32);
   model.now += 2;
-  model.place();
-  EXPECT_EQ(model.kept(), 0) << "kept for ever";
-  model.placer.remove_job({"job-000001"});
-  model.act();
-  EXPECT_EQ(model.kept(), 0);
+  model.run_placement_pass();
+  EXPECT_EQ(model.reserved_cores(), 0) << "kept for ever";
+  model.scheduler.remove_job({"job-000001"});
+  model.apply_actions();
+  EXPECT_EQ(model.reserved_cores(), 0);
 }
 
-TEST(Replicas, MovesWithAllPlacesReservedAndNeverTheLast) {
+TEST(Replicas, MovesOnlyWithFullReservationAndNeverTheLastGang) {
   Model model;
   for (int i = 0; i < 6; ++i) add_machine(model.fleet, i, "a", 16);
-  model.add(service("job-000001", 6, 16));
-  model.calm(2);
-  ASSERT_EQ(model.placer.tracker().running_gangs({"job-000001"}), 2U);
+  model.add(service_job("job-000001", 6, 16));
+  model.run_for(2);
+  ASSERT_EQ(model.scheduler.tracker().running_gangs({"job-000001"}), 2U);
   const auto drain = [&](std::uint32_t index) {
-    auto& machine = *model.fleet.find(model.where.at(member(index)));
+    auto& machine = *model.fleet.find(model.assignments.at(make_task_id(index)));
     machine.draining = true;
     model.fleet.refresh(machine);
-    model.placer.tracker().request_move(member(index), false, model.now);
+    model.scheduler.tracker().request_move(make_task_id(index), false, model.now);
   };
   drain(0);
   drain(3);
-  model.place();
+  model.run_placement_pass();
   EXPECT_TRUE(model.stopping.empty()) << "stopped without a place to go";
   add_machine(model.fleet, 6, "a", 16);
   add_machine(model.fleet, 7, "a", 16);
-  model.place();
+  model.run_placement_pass();
   EXPECT_EQ(model.stopping.size(), 3U) << "one at a time";
-  EXPECT_EQ(model.placer.tracker().running_gangs({"job-000001"}), 1U);
-  model.calm(5);
-  EXPECT_EQ(model.placer.tracker().running_gangs({"job-000001"}), 2U);
-  for (const auto& [id, at] : model.where) EXPECT_FALSE(model.fleet.find(at)->draining) << id.text();
-  // Not twice within the time stated.
-  const auto before = model.where;
+  EXPECT_EQ(model.scheduler.tracker().running_gangs({"job-000001"}), 1U);
+  model.run_for(5);
+  EXPECT_EQ(model.scheduler.tracker().running_gangs({"job-000001"}), 2U);
+  for (const auto& [id, machine_id] : model.assignments)
+    EXPECT_FALSE(model.fleet.find(machine_id)->draining) << id.text();
+  // A gang is not moved again within the minimum move interval.
+  const auto before = model.assignments;
   drain(1);
   add_machine(model.fleet, 8, "a", 16);
-  model.calm(5);
-  EXPECT_EQ(model.where, before);
-  model.calm(40);
-  EXPECT_NE(model.where, before);
-  EXPECT_EQ(model.placer.tracker().running_gangs({"job-000001"}), 2U);
+  model.run_for(5);
+  EXPECT_EQ(model.assignments, before);
+  model.run_for(40);
+  EXPECT_NE(model.assignments, before);
+  EXPECT_EQ(model.scheduler.tracker().running_gangs({"job-000001"}), 2U);
 }
 
-TEST(Replicas, TheOnlyOneMovesOnlyWhenItsMachineIsTaken) {
+TEST(Replicas, OnlyGangMovesOnlyIfItsMachineIsPreempted) {
   Model model;
   for (int i = 0; i < 4; ++i) add_machine(model.fleet, i, "a", 16);
-  model.add(service("job-000001", 3, 16));
-  model.calm(2);
-  model.placer.tracker().request_move(member(0), false, model.now);
-  model.place();
+  model.add(service_job("job-000001", 3, 16));
+  model.run_for(2);
+  model.scheduler.tracker().request_move(make_task_id(0), false, model.now);
+  model.run_placement_pass();
   EXPECT_TRUE(model.stopping.empty());
-  model.placer.tracker().request_move(member(0), true, model.now);
-  model.place();
+  model.scheduler.tracker().request_move(make_task_id(0), true, model.now);
+  model.run_placement_pass();
   EXPECT_EQ(model.stopping.size(), 3U);
 }
 
-// Found by a new leader: a half one is completed where its others are, or ended; one that was placed member
-// by member is whole, and put right by a move.
-TEST(Replicas, FoundHalfIsCompletedOrEnded) {
-  for (const bool room : {true, false}) {
+// A new leader finds two of a gang's three tasks. It completes the gang in the zone of these tasks if there
+// is a machine for the third, and stops it otherwise.
+TEST(Replicas, InheritedPartialGangIsCompletedOrStopped) {
+  for (const bool has_machine : {true, false}) {
     Model model;
-    for (int i = 0; i < (room ? 3 : 2); ++i) add_machine(model.fleet, i, "a", 16);
+    for (int i = 0; i < (has_machine ? 3 : 2); ++i) add_machine(model.fleet, i, "a", 16);
     add_machine(model.fleet, 7, "b", 16);
-    model.add(service("job-000001", 3, 16));
+    model.add(service_job("job-000001", 3, 16));
     for (std::uint32_t i = 0; i < 2; ++i) {
-      model.bind(member(i), host(static_cast<int>(i)));
-      model.placer.tracker().on_task_found(member(i), {host(static_cast<int>(i)), "a"}, model.now);
-      model.placer.tracker().on_task_running(member(i), model.now);
+      model.assign_task(make_task_id(i), make_machine_id(static_cast<int>(i)));
+      model.scheduler.tracker().on_task_found(make_task_id(i), {make_machine_id(static_cast<int>(i)), "a"},
+                                              model.now);
+      model.scheduler.tracker().on_task_running(make_task_id(i), model.now);
     }
-    // Not judged while a machine that may hold the third is not heard.
-    model.settled = false;
-    model.now += 5 * kWait;
-    model.act();
+    // The gang is not stopped while a machine that may run the third task is unconfirmed.
+    model.all_confirmed = false;
+    model.now += 5 * kStartTimeoutS;
+    model.apply_actions();
     EXPECT_TRUE(model.stopping.empty());
-    model.settled = true;
-    model.calm(kWait + 3);
-    EXPECT_EQ(model.placer.tracker().phase(kFirst), room ? Phase::whole : Phase::waiting);
-    EXPECT_EQ(model.where.size(), room ? 3U : 0U);
+    model.all_confirmed = true;
+    model.run_for(kStartTimeoutS + 3);
+    EXPECT_EQ(model.scheduler.tracker().phase(kFirstGang), has_machine ? Phase::running : Phase::waiting);
+    EXPECT_EQ(model.assignments.size(), has_machine ? 3U : 0U);
   }
 }
 
-TEST(Replicas, FoundSplitIsPutRight) {
+// Tasks that were placed one by one share machines and zones. The gangs count as running and are corrected by
+// moves.
+TEST(Replicas, InheritedSplitGangIsMoved) {
   Model model;
   for (int i = 0; i < 5; ++i) add_machine(model.fleet, i, i < 4 ? "a" : "b", 32);
-  model.add(service("job-000001", 6, 16));
-  const int at[] = {0, 0, 1, 2, 3, 4};  // two on one machine; one in another zone
+  model.add(service_job("job-000001", 6, 16));
+  const int machine_numbers[] = {0, 0, 1,
+                                 2, 3, 4};  // tasks 0 and 1 share a machine; task 5 is in another zone
   for (std::uint32_t i = 0; i < 6; ++i) {
-    model.bind(member(i), host(at[i]));
-    model.placer.tracker().on_task_found(member(i), {host(at[i]), at[i] < 4 ? "a" : "b"}, model.now);
-    model.placer.tracker().on_task_running(member(i), model.now);
+    model.assign_task(make_task_id(i), make_machine_id(machine_numbers[i]));
+    model.scheduler.tracker().on_task_found(
+        make_task_id(i), {make_machine_id(machine_numbers[i]), machine_numbers[i] < 4 ? "a" : "b"},
+        model.now);
+    model.scheduler.tracker().on_task_running(make_task_id(i), model.now);
   }
-  model.calm(100);
-  EXPECT_EQ(model.placer.tracker().running_gangs({"job-000001"}), 2U);
-  for (std::uint32_t replica = 0; replica < 2; ++replica) {
+  model.run_for(100);
+  EXPECT_EQ(model.scheduler.tracker().running_gangs({"job-000001"}), 2U);
+  for (std::uint32_t gang = 0; gang < 2; ++gang) {
     std::set<wire::MachineId> machine_ids;
     std::set<std::string> zones;
     for (std::uint32_t i = 0; i < 3; ++i) {
-      machine_ids.insert(model.where.at(member(3 * replica + i)));
-      zones.insert(model.fleet.find(model.where.at(member(3 * replica + i)))->zone);
+      machine_ids.insert(model.assignments.at(make_task_id(3 * gang + i)));
+      zones.insert(model.fleet.find(model.assignments.at(make_task_id(3 * gang + i)))->zone);
     }
     EXPECT_EQ(machine_ids.size(), 3U);
     EXPECT_EQ(zones.size(), 1U);
   }
 }
 
-// Random days of a model of machines: they die, hang, are drained and come back, members fail, starts are
-// slow. Whenever it is looked at: members of one replica on machines of their own in one zone, no room sold
-// twice, at most one that keeps room in vain; when all is calm, all are whole and no room is kept.
-TEST(Replicas, RandomDaysOfMachines) {
+// Random faults on a model of machines: machines fail, hang, are drained and replaced, tasks fail, starts are
+// slow. At every step the tasks of a gang are on distinct machines in one zone, and no machine's resources
+// are assigned twice. After the faults all gangs run and no resources are reserved.
+TEST(Replicas, RandomMachineFaults) {
   std::uint64_t starts = 0;
   for (unsigned seed = 1; seed <= 60; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937 random(seed);
     const auto chance = [&](double p) { return std::uniform_real_distribution<double>(0, 1)(random) < p; };
     Model model;
-    int next_host = 0;
-    const auto boot = [&] {
-      add_machine(model.fleet, next_host, next_host % 3 == 0 ? "b" : "a", 16);
-      ++next_host;
+    int next_machine = 0;
+    const auto boot_machine = [&] {
+      add_machine(model.fleet, next_machine, next_machine % 3 == 0 ? "b" : "a", 16);
+      ++next_machine;
     };
-    for (int i = 0; i < 14; ++i) boot();
-    model.add(service("job-000001", 6, 16));
-    model.add(service("job-000002", 7, 8));
-    std::map<wire::MachineId, double> dead;  // until when its tasks may still run
+    for (int i = 0; i < 14; ++i) boot_machine();
+    model.add(service_job("job-000001", 6, 16));
+    model.add(service_job("job-000002", 7, 8));
+    // Time until which the tasks of each failed machine may still run.
+    std::map<wire::MachineId, double> failed_machines;
     for (; model.now < 400; model.now += 1) {
-      if (model.fleet.size() < 14 && chance(0.3)) boot();
-      if (chance(0.08) && !model.where.empty()) {
-        auto victim = model.where.begin();
-        std::advance(victim, static_cast<int>(random() % model.where.size()));
+      if (model.fleet.size() < 14 && chance(0.3)) boot_machine();
+      if (chance(0.08) && !model.assignments.empty()) {
+        auto victim = model.assignments.begin();
+        std::advance(victim, static_cast<int>(random() % model.assignments.size()));
         auto& machine = *model.fleet.find(victim->second);
-        if (chance(0.4)) {  // the member fails
-          model.unbind(wire::TaskId(victim->first));
-        } else if (chance(0.5)) {  // the machine dies, which is proven later
+        if (chance(0.4)) {  // the task fails
+          model.end_task(wire::TaskId(victim->first));
+        } else if (chance(0.5)) {  // the machine fails; its tasks are confirmed to have ended later
           machine.lease_expired = true;
           model.fleet.refresh(machine);
-          dead.emplace(machine.id, model.now + (chance(0.5) ? 1 : 15));
-          for (const auto& [id, at] : model.where)
-            if (at == machine.id) model.placer.tracker().on_task_failing(id, model.now);
+          failed_machines.emplace(machine.id, model.now + (chance(0.5) ? 1 : 15));
+          for (const auto& [id, machine_id] : model.assignments)
+            if (machine_id == machine.id) model.scheduler.tracker().on_task_failing(id, model.now);
         } else {
           machine.draining = true;
           model.fleet.refresh(machine);
-          for (const auto& [id, at] : model.where)
-            if (at == machine.id) model.placer.tracker().request_move(id, chance(0.5), model.now);
+          for (const auto& [id, machine_id] : model.assignments)
+            if (machine_id == machine.id) model.scheduler.tracker().request_move(id, chance(0.5), model.now);
         }
       }
-      for (auto entry = dead.begin(); entry != dead.end();) {
+      for (auto entry = failed_machines.begin(); entry != failed_machines.end();) {
         if (model.now < entry->second) {
           ++entry;
           continue;
         }
-        std::vector<wire::TaskId> ended;
-        for (const auto& [id, at] : model.where)
-          if (at == entry->first) ended.push_back(id);
-        for (const auto& id : ended) model.unbind(id);
+        std::vector<wire::TaskId> ended_tasks;
+        for (const auto& [id, machine_id] : model.assignments)
+          if (machine_id == entry->first) ended_tasks.push_back(id);
+        for (const auto& id : ended_tasks) model.end_task(id);
         model.fleet.erase(entry->first);
-        entry = dead.erase(entry);
+        entry = failed_machines.erase(entry);
       }
       std::vector<wire::MachineId> empty;
       for (auto& [id, machine] : model.fleet)
         if (machine.draining && machine.used.cores < 1) empty.push_back(id);
       for (const auto& id : empty)
-        if (!dead.contains(id)) model.fleet.erase(id);
-      const auto before = model.where.size();
-      model.place();
-      starts += model.where.size() > before ? 1 : 0;
-      for (const auto& [id, at] : model.where)
-        if (!dead.contains(at) && !model.stopping.contains(id) && chance(0.5))
-          model.placer.tracker().on_task_running(id, model.now);
+        if (!failed_machines.contains(id)) model.fleet.erase(id);
+      const auto before = model.assignments.size();
+      model.run_placement_pass();
+      starts += model.assignments.size() > before ? 1 : 0;
+      for (const auto& [id, machine_id] : model.assignments)
+        if (!failed_machines.contains(machine_id) && !model.stopping.contains(id) && chance(0.5))
+          model.scheduler.tracker().on_task_running(id, model.now);
       for (const auto& id : std::set<wire::TaskId>(model.stopping))
-        if (!dead.contains(model.where.at(id)) && chance(0.7)) model.unbind(id);
+        if (!failed_machines.contains(model.assignments.at(id)) && chance(0.7)) model.end_task(id);
       ASSERT_FALSE(testing::Test::HasFailure());
     }
-    for (const auto& [id, until] : std::map<wire::MachineId, double>(dead)) {
-      std::vector<wire::TaskId> ended;
-      for (const auto& [one, at] : model.where)
-        if (at == id) ended.push_back(one);
-      for (const auto& one : ended) model.unbind(one);
+    for (const auto& [id, until] : std::map<wire::MachineId, double>(failed_machines)) {
+      std::vector<wire::TaskId> ended_tasks;
+      for (const auto& [task_id, machine_id] : model.assignments)
+        if (machine_id == id) ended_tasks.push_back(task_id);
+      for (const auto& task_id : ended_tasks) model.end_task(task_id);
       model.fleet.erase(id);
     }
-    for (int i = 0; i < 14; ++i) boot();
-    model.calm(120);
-    EXPECT_EQ(model.placer.tracker().running_gangs({"job-000001"}), 2U);
-    EXPECT_EQ(model.placer.tracker().running_gangs({"job-000002"}), 2U);
-    EXPECT_EQ(model.where.size(), 12U);
-    EXPECT_EQ(model.kept(), 0);
-    EXPECT_FALSE(model.placer.tracker().holder());
+    for (int i = 0; i < 14; ++i) boot_machine();
+    model.run_for(120);
+    EXPECT_EQ(model.scheduler.tracker().running_gangs({"job-000001"}), 2U);
+    EXPECT_EQ(model.scheduler.tracker().running_gangs({"job-000002"}), 2U);
+    EXPECT_EQ(model.assignments.size(), 12U);
+    EXPECT_EQ(model.reserved_cores(), 0);
+    EXPECT_FALSE(model.scheduler.tracker().partial_holder());
   }
   EXPECT_GT(starts, 600U);
 }
 
-// The work of a search grows with members and zones, not with the fleet.
-TEST(Replicas, SearchCostsNoScanOfTheFleet) {
+// The cost of a search grows with the number of tasks and zones, not with the size of the fleet.
+TEST(Replicas, SearchDoesNotScanTheFleet) {
   std::uint64_t steps[2] = {0, 0};
   for (const int large : {0, 1}) {
     model::Fleet fleet;
     for (int i = 0; i < (large == 1 ? 5000 : 500); ++i) add_machine(fleet, i, i % 2 == 0 ? "a" : "b", 16);
-    GangScheduler placer({kWait, 4, 30, 0.25, 8});
-    const auto spec = service("job-000001", 8, 16);
-    placer.add_job(spec, 8, 0);
+    GangScheduler scheduler({kStartTimeoutS, 4, 30, 0.25, 8});
+    const auto spec = service_job("job-000001", 8, 16);
+    scheduler.add_job(spec, 8, 0);
     const auto before = fleet.steps();
-    ASSERT_TRUE(placer.place_gang(fleet, placer.tracker().placement_requests(spec.id, 1, 0).front(),
-                                  site_of(spec), 0));
+    ASSERT_TRUE(scheduler.place_gang(fleet, scheduler.tracker().placement_requests(spec.id, 1, 0).front(),
+                                     constraints_for(spec), 0));
     steps[large] = fleet.steps() - before;
   }
   EXPECT_LE(steps[1], steps[0] + 8);
