--- a/tests/gang_sim_test.cpp
+++ b/tests/gang_sim_test.cpp
@@ -1,5 +1,5 @@
-// Replicas that span machines on simulated sites: several controllers, machines that die, hang, are sick or
-// taken back, and every rule checked after each step.
+// Gang scheduling on simulated sites with several controllers. Machines fail, hang, are unhealthy or are
+// preempted, and all invariants are checked after each step.
 #include <gtest/gtest.h>
 
 #include "sim/scenario.hpp"
@@ -9,16 +9,18 @@
 namespace {
 
 constexpr std::uint32_t kSpan = 3;
-constexpr double kHalf = 9;  // control intervals and all: a member's end is known and its peers are stopped
+// Time within which the end of a task is known and its peers are stopped, control intervals included, in
+// seconds.
+constexpr double kPartialGangLimitS = 9;
 
-// A model that is served: each member takes a machine of its own of the smaller type.
-SimJob served(std::uint32_t members, const std::string& team = "red") {
+// A service whose tasks each fill a machine of the smaller type.
+SimJob service_job(std::uint32_t tasks, const std::string& team = "red") {
   SimJob job;
   job.spec.job_class = "serve";
   job.spec.team = team;
   job.spec.kind = wire::JobKind::service;
   job.spec.priority = wire::Priority::production;
-  job.spec.task_count = members;
+  job.spec.task_count = tasks;
   job.spec.request = {3, 0, 2};
   job.spec.machine_types = std::vector<std::string>{"small"};
   job.spec.image = "weights";
@@ -27,8 +29,8 @@
   return job;
 }
 
-SimJob batch(std::uint32_t members, double run_s) {
-  auto job = served(members, "blue");
+SimJob batch_job(std::uint32_t tasks, double run_s) {
+  auto job = service_job(tasks, "blue");
   job.spec.job_class = "any";
   job.spec.kind = wire::JobKind::array;
   job.spec.priority = wire::Priority::best_effort;
@@ -38,82 +40,85 @@
   return job;
 }
 
-void begin(SimulatedCluster& cluster, int machines = 24) {
+void start_cluster(SimulatedCluster& cluster, int machines = 24) {
   cluster.spans["serve"] = kSpan;
   cluster.cloud().machine_limit = machines;
   for (int node = 0; node < cluster.nodes(); ++node) cluster.crash(node, 0);
   cluster.run(5);
 }
 
-// The machine that a member runs on; empty if none.
-std::string host_of(SimulatedCluster& cluster, const std::string& job_id, std::uint32_t index) {
+// The machine that runs a task of the job; empty if there is none.
+std::string machine_of(SimulatedCluster& cluster, const std::string& job_id, std::uint32_t index) {
   for (const auto& [host, machine] : cluster.machines())
     if (machine.on({wire::JobId{job_id}, index}, cluster.now(), 20)) return host;
   return {};
 }
 
-// Runs until so many replicas are whole, returns how long that took; a large number if it never was.
-double until_whole(SimulatedCluster& cluster, const std::string& job_id, std::uint32_t count, double most) {
-  const double began = cluster.now();
-  while (cluster.now() < began + most) {
-    if (cluster.whole(job_id) >= count) return cluster.now() - began;
+// Runs until all tasks of `count` gangs run, for `limit_s` seconds at most. Returns how long that took, or a
+// large number if it did not happen.
+double time_until_running(SimulatedCluster& cluster, const std::string& job_id, std::uint32_t count,
+                          double limit_s) {
+  const double started_at = cluster.now();
+  while (cluster.now() < started_at + limit_s) {
+    if (cluster.whole(job_id) >= count) return cluster.now() - started_at;
     cluster.run(cluster.now() + 0.25);
   }
   return 1e9;
 }
 
-TEST(ReplicaScenario, StartsAsOne) {
+TEST(ReplicaScenario, StartsAllTasksTogether) {
   SimulatedCluster cluster(3);
-  begin(cluster);
-  cluster.rules().half_limit_s = kHalf;
-  const auto job_id = cluster.submit(served(7));
-  EXPECT_LT(until_whole(cluster, job_id, 2, 60), 40);
+  start_cluster(cluster);
+  cluster.rules().half_limit_s = kPartialGangLimitS;
+  const auto job_id = cluster.submit(service_job(7));
+  EXPECT_LT(time_until_running(cluster, job_id, 2, 60), 40);
   cluster.run(90);
   EXPECT_EQ(cluster.starts(), 6U) << "the seventh makes no replica";
   EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 
-// Without an entry a service is placed member by member, as ever.
-TEST(ReplicaScenario, WithoutAnEntryNothingChanges) {
+// A service whose class has no span in the policy is placed task by task.
+TEST(ReplicaScenario, ServiceWithoutSpanIsPlacedTaskByTask) {
   SimulatedCluster cluster(3);
-  begin(cluster);
-  auto job = served(7);
+  start_cluster(cluster);
+  auto job = service_job(7);
   job.spec.job_class = "any";
   cluster.submit(job);
   cluster.run(60);
   EXPECT_EQ(cluster.starts(), 7U);
 }
 
-TEST(ReplicaScenario, ADeadMachineIsReplacedAndTheRestStaysWhereTheWeightsAre) {
+TEST(ReplicaScenario, FailedMachineIsReplacedAndOtherTasksKeepTheirMachines) {
   SimulatedCluster cluster(5);
-  begin(cluster);
-  const auto job_id = cluster.submit(served(6));
-  ASSERT_LT(until_whole(cluster, job_id, 2, 60), 60);
-  cluster.submit(batch(1, 1));
+  start_cluster(cluster);
+  const auto job_id = cluster.submit(service_job(6));
+  ASSERT_LT(time_until_running(cluster, job_id, 2, 60), 60);
+  cluster.submit(batch_job(1, 1));
   cluster.run(cluster.now() + 10);
-  cluster.rules().half_limit_s = kHalf;
+  cluster.rules().half_limit_s = kPartialGangLimitS;
   std::set<std::string> before;
-  for (std::uint32_t i = 0; i < kSpan; ++i) before.insert(host_of(cluster, job_id, i));
+  for (std::uint32_t i = 0; i < kSpan; ++i) before.insert(machine_of(cluster, job_id, i));
   const auto starts = cluster.starts();
-  cluster.machines().at(host_of(cluster, job_id, 1)).dead = true;
+  cluster.machines().at(machine_of(cluster, job_id, 1)).dead = true;
   cluster.run(cluster.now() + 1);
-  EXPECT_LT(until_whole(cluster, job_id, 2, 90), 45);
+  EXPECT_LT(time_until_running(cluster, job_id, 2, 90), 45);
   EXPECT_EQ(cluster.starts(), starts + kSpan);
   std::size_t stayed = 0;
-  for (std::uint32_t i = 0; i < kSpan; ++i) stayed += before.contains(host_of(cluster, job_id, i)) ? 1 : 0;
+  for (std::uint32_t i = 0; i < kSpan; ++i) stayed += before.contains(machine_of(cluster, job_id, i)) ? 1 : 0;
   EXPECT_GE(stayed, kSpan - 1);
   EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 
-// A hang longer than the lease, and one that ends just before: never two of one member.
-TEST(ReplicaScenario, AHangingMachineEndsAllOfItsReplica) {
+// Machines hang for longer than the agent lease, or resume just before its end. No task may run twice.
+TEST(ReplicaScenario, HungMachineStopsItsWholeGang) {
   for (const double seconds : {8.0, 18.0, 30.0}) {
     SimulatedCluster cluster(7);
-    begin(cluster);
-    const auto job_id = cluster.submit(served(6));
-    ASSERT_LT(until_whole(cluster, job_id, 2, 60), 60);
-    cluster.rules().half_limit_s = kHalf + 21;  // a hanging machine holds its member until its lease is over
-    cluster.machines().at(host_of(cluster, job_id, 4)).hung_until = cluster.now() + seconds;
+    start_cluster(cluster);
+    const auto job_id = cluster.submit(service_job(6));
+    ASSERT_LT(time_until_running(cluster, job_id, 2, 60), 60);
+    // A hung machine keeps its task until its lease has expired.
+    cluster.rules().half_limit_s = kPartialGangLimitS + 21;
+    cluster.machines().at(machine_of(cluster, job_id, 4)).hung_until = cluster.now() + seconds;
     cluster.run(cluster.now() + 1);
     cluster.run(cluster.now() + 80);
     EXPECT_EQ(cluster.whole(job_id), 2U);
@@ -121,82 +126,83 @@
   }
 }
 
-// A machine that fails each start is found out, and the replica is whole without it.
-TEST(ReplicaScenario, ASickMachineDoesNotKeepItDown) {
+// A machine on which every start fails is detected, and the gang runs without it.
+TEST(ReplicaScenario, UnhealthyMachineIsNotUsedAgain) {
   SimulatedCluster cluster(9);
-  begin(cluster);
-  const auto job_id = cluster.submit(served(6));
-  ASSERT_LT(until_whole(cluster, job_id, 2, 60), 60);
-  const auto sick = host_of(cluster, job_id, 0);
-  cluster.machines().at(sick).unhealthy = true;
-  // Its member ends, as one that has just been started there does.
-  auto& task = cluster.machines().at(sick).tasks.at({wire::JobId{job_id}, 0});
+  start_cluster(cluster);
+  const auto job_id = cluster.submit(service_job(6));
+  ASSERT_LT(time_until_running(cluster, job_id, 2, 60), 60);
+  const auto unhealthy_machine = machine_of(cluster, job_id, 0);
+  cluster.machines().at(unhealthy_machine).unhealthy = true;
+  // The running task on the machine fails too, like any task that is started there.
+  auto& task = cluster.machines().at(unhealthy_machine).tasks.at({wire::JobId{job_id}, 0});
   task.state = wire::TaskState::exited;
   task.exit_reason = wire::ExitReason::error;
   cluster.run(cluster.now() + 2);
-  cluster.rules().half_limit_s = kHalf;
-  EXPECT_LT(until_whole(cluster, job_id, 2, 90), 60);
-  for (std::uint32_t i = 0; i < kSpan; ++i) EXPECT_NE(host_of(cluster, job_id, i), sick);
+  cluster.rules().half_limit_s = kPartialGangLimitS;
+  EXPECT_LT(time_until_running(cluster, job_id, 2, 90), 60);
+  for (std::uint32_t i = 0; i < kSpan; ++i) EXPECT_NE(machine_of(cluster, job_id, i), unhealthy_machine);
   EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 
-// The cloud takes a machine back: the replica is elsewhere before it does, and starts as one.
-TEST(ReplicaScenario, ANoticeMovesItAsOne) {
+// The cloud announces the preemption of a machine. The gang is stopped and started elsewhere before the
+// preemption.
+TEST(ReplicaScenario, PreemptionNoticeMovesTheWholeGang) {
   SimulatedCluster cluster(11);
-  begin(cluster);
-  auto job = served(6);
+  start_cluster(cluster);
+  auto job = service_job(6);
   job.spec.machine_types.reset();
   const auto job_id = cluster.submit(job);
-  ASSERT_LT(until_whole(cluster, job_id, 2, 60), 60);
-  cluster.submit(batch(12, 200));  // brings machines with room
+  ASSERT_LT(time_until_running(cluster, job_id, 2, 60), 60);
+  cluster.submit(batch_job(12, 200));  // makes the site rent machines
   cluster.run(cluster.now() + 40);
-  cluster.rules().half_limit_s = kHalf;
+  cluster.rules().half_limit_s = kPartialGangLimitS;
   cluster.rules().moves_checked = true;
-  auto& machine = cluster.machines().at(host_of(cluster, job_id, 1));
-  const auto taken = machine.id;
+  auto& machine = cluster.machines().at(machine_of(cluster, job_id, 1));
+  const auto preempted_machine = machine.id;
   machine.preempted_at = cluster.now() + 12;
   machine.report_wanted = true;
   const auto starts = cluster.starts();
   cluster.run(cluster.now() + 11);
   EXPECT_EQ(cluster.whole(job_id), 2U);
-  EXPECT_NE(host_of(cluster, job_id, 1), taken);
-  // The other one had a member there too, or not.
+  EXPECT_NE(machine_of(cluster, job_id, 1), preempted_machine);
+  // The other gang may have had a task on the machine too, so one or two gangs are restarted.
   EXPECT_GE(cluster.starts() - starts, kSpan);
   EXPECT_EQ((cluster.starts() - starts) % kSpan, 0U);
   EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 
-// All controllers end when some members run and others still fetch their image.
-TEST(ReplicaScenario, AllControllersCrashInTheMiddleOfAStart) {
+// All controllers crash while some tasks of a gang run and others still pull their image.
+TEST(ReplicaScenario, AllControllersCrashDuringAStart) {
   for (const int seed : {13, 14, 15, 16}) {
     SimulatedCluster cluster(static_cast<std::uint64_t>(seed));
-    begin(cluster);
-    cluster.rules().half_limit_s = 20 + 30;  // a lease and the time to start
-    const auto job_id = cluster.submit(served(9));
+    start_cluster(cluster);
+    cluster.rules().half_limit_s = 20 + 30;  // an agent lease and the time to start
+    const auto job_id = cluster.submit(service_job(9));
     while (cluster.starts() < 1 + static_cast<std::uint64_t>(seed - 13) && cluster.now() < 60)
       cluster.run(cluster.now() + 0.02);
     ASSERT_LT(cluster.now(), 60);
     for (int node = 0; node < cluster.nodes(); ++node) cluster.crash(node, 0.5 + node);
-    // One of the machines does not come through it.
+    // A machine fails at the same time.
     if (seed % 2 == 0) cluster.kill_machine();
-    EXPECT_LT(until_whole(cluster, job_id, 3, 120), 100) << "seed " << seed;
+    EXPECT_LT(time_until_running(cluster, job_id, 3, 120), 100) << "seed " << seed;
     EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
   }
 }
 
-// The leader ends when a move has stopped members and started none elsewhere.
-TEST(ReplicaScenario, ALeaderIsReplacedBetweenStopAndStart) {
+// The leader crashes during a move, after it has stopped the gang and before it has started it elsewhere.
+TEST(ReplicaScenario, LeaderCrashesBetweenStopAndStart) {
   for (const int seed : {17, 18, 19}) {
     SimulatedCluster cluster(static_cast<std::uint64_t>(seed));
-    begin(cluster);
-    auto job = served(6);
+    start_cluster(cluster);
+    auto job = service_job(6);
     job.spec.machine_types.reset();
     const auto job_id = cluster.submit(job);
-    ASSERT_LT(until_whole(cluster, job_id, 2, 60), 60);
-    cluster.submit(batch(12, 200));
+    ASSERT_LT(time_until_running(cluster, job_id, 2, 60), 60);
+    cluster.submit(batch_job(12, 200));
     cluster.run(cluster.now() + 40);
     cluster.rules().half_limit_s = 20 + 30;
-    auto& machine = cluster.machines().at(host_of(cluster, job_id, 1));
+    auto& machine = cluster.machines().at(machine_of(cluster, job_id, 1));
     machine.preempted_at = cluster.now() + 25;
     machine.report_wanted = true;
     const auto stops = cluster.service_stops;
@@ -205,148 +211,152 @@
     ASSERT_GT(cluster.service_stops, stops);
     cluster.crash(cluster.leader(), 5);
     cluster.run(cluster.now() + 1);
-    EXPECT_LT(until_whole(cluster, job_id, 2, 120), 80) << "seed " << seed;
+    EXPECT_LT(time_until_running(cluster, job_id, 2, 120), 80) << "seed " << seed;
     EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
   }
 }
 
-// A start is held back on its way to one machine until the replica has gone elsewhere.
-TEST(ReplicaScenario, AStartArrivesAfterItWentElsewhere) {
+// A start command is delayed on its way to a machine until the gang runs on other machines. The late command
+// must not start the task a second time.
+TEST(ReplicaScenario, DelayedStartArrivesAfterTheGangRunsElsewhere) {
   SimulatedCluster cluster(21);
-  begin(cluster);
-  cluster.submit(batch(20, 15));
+  start_cluster(cluster);
+  cluster.submit(batch_job(20, 15));
   cluster.run(35);
-  // Machines are there, idle: what comes now is started by direct orders, which are held, and with the
-  // answers to reports. One machine hangs before it reports; it cannot be released, and so goes on later.
+  // Idle machines are present, so the gang's tasks are started by direct commands, which are delayed, and by
+  // the responses to heartbeats. One machine hangs before its next heartbeat. It can't be terminated during
+  // the cloud outage and therefore resumes later.
   const auto leader = cluster.leader();
   ASSERT_GE(leader, 0);
   for (const auto& [host, machine] : cluster.machines())
     cluster.cut("node-" + std::to_string(leader), host, 70, true);
-  const auto job_id = cluster.submit(served(3));
-  std::string held;
-  while (held.empty() && cluster.now() < 45) {
+  const auto job_id = cluster.submit(service_job(3));
+  std::string delayed_machine;
+  while (delayed_machine.empty() && cluster.now() < 45) {
     cluster.run(cluster.now() + 0.01);
     for (const auto& host : cluster.awaited_starts())
-      if (cluster.machines().at(host).tasks.empty()) held = host;
+      if (cluster.machines().at(host).tasks.empty()) delayed_machine = host;
   }
-  ASSERT_FALSE(held.empty());
-  cluster.machines().at(held).hung_until = cluster.now() + 16;
+  ASSERT_FALSE(delayed_machine.empty());
+  cluster.machines().at(delayed_machine).hung_until = cluster.now() + 16;
   cluster.cloud_outage(30);
   cluster.rules().half_limit_s = 20 + 30;
-  EXPECT_LT(until_whole(cluster, job_id, 1, 60), 60);
-  EXPECT_TRUE(cluster.awaited_starts().contains(held)) << "the start is not late";
+  EXPECT_LT(time_until_running(cluster, job_id, 1, 60), 60);
+  EXPECT_TRUE(cluster.awaited_starts().contains(delayed_machine)) << "the start is not late";
   cluster.run(cluster.now() + 110);
   EXPECT_EQ(cluster.whole(job_id), 1U);
   EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 
-// Placed member by member by a version that knows no replicas, it is put right one by one, never all down.
-TEST(ReplicaScenario, AnUpgradePutsRightWhatWasPlacedOneByOne) {
+// A version without gang scheduling has placed the tasks one by one. After an upgrade the gangs are moved one
+// at a time, and at least one of them runs at any time.
+TEST(ReplicaScenario, UpgradeMovesGangsThatWerePlacedTaskByTask) {
   SimulatedCluster cluster(22);
   cluster.spanning = false;
-  begin(cluster);
-  auto job = served(6);
-  job.spec.machine_types = std::vector<std::string>{"large"};  // several members a machine
+  start_cluster(cluster);
+  auto job = service_job(6);
+  job.spec.machine_types = std::vector<std::string>{"large"};  // holds several tasks
   job.spec.request = {4, 0, 2};
   const auto job_id = cluster.submit(job);
   cluster.run(60);
   ASSERT_EQ(cluster.starts(), 6U);
   std::set<std::string> hosts;
-  for (std::uint32_t i = 0; i < 6; ++i) hosts.insert(host_of(cluster, job_id, i));
+  for (std::uint32_t i = 0; i < 6; ++i) hosts.insert(machine_of(cluster, job_id, i));
   ASSERT_LT(hosts.size(), 6U);
   cluster.spanning = true;
   for (int node = 0; node < cluster.nodes(); ++node) {
     cluster.crash(node, 1);
     cluster.run(cluster.now() + 6);
   }
-  std::uint32_t least = 2;
+  std::uint32_t min_running = 2;
   for (const double until = cluster.now() + 150; cluster.now() < until; cluster.run(cluster.now() + 0.5))
-    least = std::min(least, cluster.whole(job_id));
-  EXPECT_GE(least, 1U) << "none served";
-  for (std::uint32_t replica = 0; replica < 2; ++replica) {
+    min_running = std::min(min_running, cluster.whole(job_id));
+  EXPECT_GE(min_running, 1U) << "none served";
+  for (std::uint32_t gang = 0; gang < 2; ++gang) {
     hosts.clear();
-    for (std::uint32_t i = 0; i < kSpan; ++i) hosts.insert(host_of(cluster, job_id, replica * kSpan + i));
+    for (std::uint32_t i = 0; i < kSpan; ++i) hosts.insert(machine_of(cluster, job_id, gang * kSpan + i));
     EXPECT_EQ(hosts.size(), kSpan);
     EXPECT_FALSE(hosts.contains(""));
   }
   EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 
-// The policy gets an entry for a class that runs, and loses it again.
-TEST(ReplicaScenario, ThePolicyChangesWhileItRuns) {
+// The policy sets a span for the class of a running job, and removes it again.
+TEST(ReplicaScenario, PolicyChangesWhileTheJobRuns) {
   SimulatedCluster cluster(23);
-  begin(cluster);
+  start_cluster(cluster);
   cluster.spans.clear();
-  const auto job_id = cluster.submit(served(7));
+  const auto job_id = cluster.submit(service_job(7));
   cluster.run(60);
   ASSERT_EQ(cluster.starts(), 7U);
   cluster.spans["serve"] = kSpan;
   cluster.run(100);
   EXPECT_EQ(cluster.whole(job_id), 2U);
   cluster.spans.clear();
-  auto more = served(2);
+  auto more = service_job(2);
   cluster.submit(more);
   cluster.run(150);
   EXPECT_GE(cluster.starts(), 9U);
   EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 
-// Batches fill every machine with short tasks that follow one another: a replica gets its room all the same.
-TEST(ReplicaScenario, SmallWorkDoesNotPassItForEver) {
+// Batch jobs keep every machine full with short tasks. The gang must still get machines in bounded time.
+TEST(ReplicaScenario, SmallTasksDoNotStarveAGang) {
   SimulatedCluster cluster(24);
-  begin(cluster, 6);
+  start_cluster(cluster, 6);
   for (int i = 0; i < 40; ++i) {
-    auto job = batch(24, 6);
-    job.spec.priority = wire::Priority::production;  // not to be stopped for it
+    auto job = batch_job(24, 6);
+    job.spec.priority = wire::Priority::production;  // production tasks are not preempted for the gang
     cluster.submit(job);
   }
   cluster.run(40);
-  const auto job_id = cluster.submit(served(3));
-  EXPECT_LT(until_whole(cluster, job_id, 1, 150), 100);
+  const auto job_id = cluster.submit(service_job(3));
+  EXPECT_LT(time_until_running(cluster, job_id, 1, 150), 100);
   EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 
-// ---- the checker itself
+// ---- tests of the invariant checker
 
-TEST(Checker, SeesAHalfReplica) {
+TEST(Checker, DetectsAPartialGang) {
   SimulatedCluster cluster(25);
-  begin(cluster);
-  const auto job_id = cluster.submit(served(3));
-  ASSERT_LT(until_whole(cluster, job_id, 1, 60), 60);
-  cluster.rules().half_limit_s = kHalf;
-  cluster.spanning = false;  // the next leader knows of no replicas
+  start_cluster(cluster);
+  const auto job_id = cluster.submit(service_job(3));
+  ASSERT_LT(time_until_running(cluster, job_id, 1, 60), 60);
+  cluster.rules().half_limit_s = kPartialGangLimitS;
+  cluster.spanning = false;  // the next leader has no gang scheduling
   for (int node = 0; node < cluster.nodes(); ++node) cluster.crash(node, 0.5);
   cluster.run(cluster.now() + 10);
   cluster.cloud().machine_limit = 0;
-  const auto lost = host_of(cluster, job_id, 1);
-  for (auto& [host, machine] : cluster.machines())  // nor is there room elsewhere
-    machine.dead = machine.dead || host == lost || machine.tasks.empty();
+  const auto lost_machine = machine_of(cluster, job_id, 1);
+  for (auto& [host, machine] : cluster.machines())  // no other machine can take the lost task
+    machine.dead = machine.dead || host == lost_machine || machine.tasks.empty();
   cluster.run(cluster.now() + 30);
   EXPECT_TRUE(broke_rule(cluster, "half_replica"));
 }
 
-TEST(Checker, SeesASplitReplica) {
+TEST(Checker, DetectsASplitGang) {
   SimulatedCluster cluster(26);
   cluster.spanning = false;
   cluster.rules().split_seen = true;
-  begin(cluster);
-  auto job = served(3);
+  start_cluster(cluster);
+  auto job = service_job(3);
   job.spec.machine_types = std::vector<std::string>{"large"};
   cluster.submit(job);
   cluster.run(60);
   EXPECT_TRUE(broke_rule(cluster, "split_replica"));
 }
 
-TEST(Checker, SeesTooManyMoving) {
+TEST(Checker, DetectsTooManyMovingGangs) {
   SimulatedCluster cluster(27);
-  begin(cluster);
-  const auto job_id = cluster.submit(served(9));
-  ASSERT_LT(until_whole(cluster, job_id, 3, 60), 60);
+  start_cluster(cluster);
+  const auto job_id = cluster.submit(service_job(9));
+  ASSERT_LT(time_until_running(cluster, job_id, 3, 60), 60);
   cluster.rules().moves_checked = true;
-  // A leader that stops two at once: as orders of its own they come with its fencing token.
+  // Stops a task of two gangs at once. The commands carry the leader's fencing token, as if the leader had
+  // sent them.
   const auto fencing_token = wire::count_field(cluster.keys().at(wire::kTermKey).data, "n");
   for (const std::uint32_t index : {0U, 3U}) {
-    auto& machine = cluster.machines().at(host_of(cluster, job_id, index));
+    auto& machine = cluster.machines().at(machine_of(cluster, job_id, index));
     const auto& task = machine.tasks.at({wire::JobId{job_id}, index});
     const wire::Command stop{wire::CommandType::stop, {wire::JobId{job_id}, index}, task.attempt, 0};
     const wire::Json body{{"fence", fencing_token},
@@ -357,15 +367,15 @@
   EXPECT_TRUE(broke_rule(cluster, "too_many_moving"));
 }
 
-// ---- random days
+// ---- random faults
 
 class ReplicaDay : public testing::TestWithParam<int> {};
 
-TEST_P(ReplicaDay, KeepsTheRulesAndEndsWhole) {
+TEST_P(ReplicaDay, KeepsInvariantsAndRunsAllGangsAtTheEnd) {
   SCOPED_TRACE("seed " + std::to_string(GetParam()));
   SimulatedCluster cluster(static_cast<std::uint64_t>(GetParam()) + 500);
   const bool upgrade = GetParam() % 4 == 0;
-  begin(cluster, 26);
+  start_cluster(cluster, 26);
   if (upgrade) {
     cluster.announced = false;
     cluster.crash(0, 1);
@@ -374,12 +384,13 @@
       cluster.crash(0, 1);
     });
   }
-  // A lease for what is cut off or hangs, the time to start or to complete, and what faults add to both.
+  // The lease of a machine that is partitioned or hangs, the time to start or complete a gang, and the delay
+  // that faults add to both.
   cluster.rules().half_limit_s = 20 + 30 + 20;
-  auto job = served(6);
-  job.spec.allows_preemptible = GetParam() % 2 == 1;  // on machines that the cloud takes back
+  auto job = service_job(6);
+  job.spec.allows_preemptible = GetParam() % 2 == 1;  // preemptible machines in half of the seeds
   const auto first = cluster.submit(job);
-  const auto second = cluster.submit(served(7, "blue"));
+  const auto second = cluster.submit(service_job(7, "blue"));
   double next_job = 20;
   double next_fault = 35;
   constexpr double kFaultsEnd = 200;
@@ -387,7 +398,7 @@
     cluster.run(std::min(next_job, next_fault));
     ASSERT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
     if (cluster.now() >= next_job) {
-      cluster.submit(batch(static_cast<std::uint32_t>(1 + cluster.pick(8)), cluster.uniform(2, 12)));
+      cluster.submit(batch_job(static_cast<std::uint32_t>(1 + cluster.pick(8)), cluster.uniform(2, 12)));
       next_job = cluster.now() + cluster.uniform(3, 15);
     }
     if (cluster.now() >= next_fault) {
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -388,8 +388,8 @@
   Model model;
   for (int i = 0; i < 5; ++i) add_machine(model.fleet, i, i < 4 ? "a" : "b", 32);
   model.add(service_job("job-000001", 6, 16));
-  const int machine_numbers[] = {0, 0, 1,
-                                 2, 3, 4};  // tasks 0 and 1 share a machine; task 5 is in another zone
+  // Tasks 0 and 1 share a machine; task 5 is in another zone.
+  const int machine_numbers[] = {0, 0, 1, 2, 3, 4};
   for (std::uint32_t i = 0; i < 6; ++i) {
     model.assign_task(make_task_id(i), make_machine_id(machine_numbers[i]));
     model.scheduler.tracker().on_task_found(
@@ -413,7 +413,8 @@
 
 // Random faults on a model of machines: machines fail, hang, are drained and replaced, tasks fail, starts are
 // slow. At every step the tasks of a gang are on distinct machines in one zone, and no machine's resources
-// are assigned twice. After the faults all gangs run and no resources are reserved.
+// are assigned twice. At most one gang holds a partial reservation. After the faults all gangs run and no
+// resources are reserved.
 TEST(Replicas, RandomMachineFaults) {
   std::uint64_t starts = 0;
   for (unsigned seed = 1; seed <= 60; ++seed) {
