--- a/src/gang/gang_fit.hpp
+++ b/src/gang/gang_fit.hpp
@@ -28,22 +28,24 @@
   std::map<std::pair<GangId, wire::MachineId>, wire::Resources> reserved_;
 };
 
+// Parameters of find_placements() and find_occupied_machines().
 struct PlacementSearch {
   const wire::JobSpec& spec;
-  std::size_t count = 0;            // number of placements to find
-  std::vector<Placement> reserved;  // placements already reserved for the gang; used first
-  std::set<wire::MachineId> excluded_machines;
-  std::string zone;                                        // the zone to search; empty for all zones
-  std::string preferred_zone;                              // zone that is chosen among equally good ones
+  std::size_t count = 0;                        // number of placements to find
+  std::vector<Placement> reserved;              // placements already reserved for the gang; used first
+  std::set<wire::MachineId> excluded_machines;  // machines that must not be chosen
+  std::string zone;                             // the zone to search; empty for all zones
+  std::string preferred_zone;                   // zone that is chosen among equally good ones
   std::function<double(const model::Pool&)> image_pull_s;  // time to pull the image on machines of the pool
+  // Whether a task of the job may start on the machine.
   std::function<bool(const model::Machine&)> is_suitable;
   std::function<bool(const std::string&)> zone_allows;  // whether the zone may take `count` tasks of the job
 };
 
 struct PlacementSearchResult {
   std::vector<Placement> placements;  // reserved ones first; fewer than requested if there are no more
-  std::string zone;
-  bool complete = false;  // whether all requested placements were found
+  std::string zone;                   // the zone of the placements; empty if there is no zone to search
+  bool complete = false;              // whether all requested placements were found
 };
 
 // Chooses the zone in which most machines hold the image among those that have enough placements. If no zone
--- a/src/gang/gang_scheduler.cpp
+++ b/src/gang/gang_scheduler.cpp
@@ -82,29 +82,30 @@
                                                                  const PlacementRequest& request,
                                                                  const PlacementSearch& search,
                                                                  const PlacementSearchResult& found) {
-  PlacementSearchResult held{{}, found.zone, false};
+  PlacementSearchResult reservation{{}, found.zone, false};
   if (tracker_.partial_holder() == request.id && !request.reserved.empty()) {
-    held.zone = request.reserved.front().zone;
+    reservation.zone = request.reserved.front().zone;
     for (const auto& placement : request.reserved) {
       const auto* machine = fleet.peek(placement.machine_id);
-      if (machine != nullptr && machine->takes_tasks() && placement.zone == held.zone &&
+      if (machine != nullptr && machine->takes_tasks() && placement.zone == reservation.zone &&
           !search.excluded_machines.contains(placement.machine_id))
-        held.placements.push_back(placement);
+        reservation.placements.push_back(placement);
     }
   } else if (tracker_.partial_holder() && tracker_.partial_holder() != request.id) {
     return {};
   }
-  if (held.zone == found.zone)
+  if (reservation.zone == found.zone)
     for (const auto& placement : found.placements)
-      if (held.placements.size() < search.count &&
-          std::find(held.placements.begin(), held.placements.end(), placement) == held.placements.end())
-        held.placements.push_back(placement);
-  if (held.placements.size() < search.count) {
-    auto occupied = find_occupied_machines(fleet, occupied_cursor_, kOccupiedSearchSize, search, held,
-                                           search.count - held.placements.size());
-    held.placements.insert(held.placements.end(), occupied.begin(), occupied.end());
+      if (reservation.placements.size() < search.count &&
+          std::find(reservation.placements.begin(), reservation.placements.end(), placement) ==
+              reservation.placements.end())
+        reservation.placements.push_back(placement);
+  if (reservation.placements.size() < search.count) {
+    auto occupied = find_occupied_machines(fleet, occupied_cursor_, kOccupiedSearchSize, search, reservation,
+                                           search.count - reservation.placements.size());
+    reservation.placements.insert(reservation.placements.end(), occupied.begin(), occupied.end());
   }
-  return std::move(held.placements);
+  return std::move(reservation.placements);
 }
 
 bool GangScheduler::begin_move(Fleet& fleet, const Move& move, const GangConstraints& constraints,
--- a/src/gang/gang_tracker.cpp
+++ b/src/gang/gang_tracker.cpp
@@ -386,7 +386,7 @@
 
 std::vector<Move> GangTracker::allowed_moves(double now) const {
   std::vector<Move> result;
-  std::map<wire::JobId, std::size_t> moving;
+  std::map<wire::JobId, std::size_t> selected;
   for (const auto& id : needing_move_) {
     const auto* gang = find(id);
     const auto& job = jobs_.at(id.first);
@@ -396,7 +396,7 @@
     // A task on a machine that the cloud preempts ends in any case, so its gang may be moved at any time. All
     // other moves are limited in number and interval, and the last running gang of a job is not moved.
     if (!preempted) {
-      const auto remaining = running_gangs(id.first) - moving[id.first];
+      const auto remaining = running_gangs(id.first) - selected[id.first];
       const auto not_running = job.gangs.size() - remaining;
       const auto max_moving = std::max<std::size_t>(
           1, static_cast<std::size_t>(settings_.max_moving_fraction * static_cast<double>(job.gangs.size())));
@@ -420,7 +420,7 @@
       else
         move.leaving_tasks.push_back(id.second * job.span + i);
     }
-    ++moving[id.first];
+    ++selected[id.first];
     result.push_back(std::move(move));
   }
   return result;
--- a/src/gang/gang_tracker.hpp
+++ b/src/gang/gang_tracker.hpp
@@ -16,8 +16,8 @@
 
 namespace bankhill::gang {
 
-// Job and number of a gang in it. Gang `number` consists of the tasks number * span to number * span + span
-// - 1.
+// A gang's job and its number in the job. Gang `number` consists of the tasks with the indices
+// number * span to number * span + span - 1.
 using GangId = std::pair<wire::JobId, std::uint32_t>;
 
 enum class Phase {
@@ -44,7 +44,7 @@
   Kind kind = Kind::stop;
   GangId gang_id;
   std::uint32_t task_index = 0;  // index in the job of the task to stop; unused for reservations
-  wire::MachineId machine_id;    // of `keep` and `drop`
+  wire::MachineId machine_id;    // machine of the task or of the reservation
   bool operator==(const Action&) const = default;
 };
 
@@ -163,8 +163,8 @@
     double last_moved_at = -1e18;
     std::vector<Placement> reserved;
     double reserved_until = 0;
-    double hold_s = 0;  // duration of the last partial reservation; 0 after all tasks have run
-    bool is_moving = false;
+    double hold_s = 0;       // duration of the last partial reservation; 0 after all tasks have run
+    bool is_moving = false;  // stopped for a move; `reserved` has a placement for every task
     double stops_issued_at = 0;
     // Earliest time of the next placement, so that an evicted gang does not take back the freed resources.
     double not_before = -1e18;
