--- a/tests/gang_days.cpp
+++ b/tests/gang_days.cpp
@@ -106,10 +106,10 @@
   const auto gangs = static_cast<std::uint32_t>(argc > 1 ? std::atoi(argv[1]) : 10);
   const double length_s = argc > 2 ? std::atof(argv[2]) : 300;
   const std::uint64_t seeds = argc > 3 ? static_cast<std::uint64_t>(std::atoi(argv[3])) : 2;
-  std::printf("%u replicas of %u machines, %.0f s a day, seeds 1 to %d\n", gangs, kSpan, length_s,
+  std::printf("%u gangs of %u machines, %.0f s per run, seeds 1 to %d\n", gangs, kSpan, length_s,
               static_cast<int>(seeds));
   std::printf(
-      "a machine dies each | placed        | whole | repairs | median s | 99 %% s | held | machines\n");
+      "machine fails every | placement     | up    | repairs | median s | 99 %% s | held | machines\n");
   std::vector<double> failure_intervals_s = {60, 20, 10, 5};  // seconds between two machine failures
   if (argc > 4) failure_intervals_s = {std::atof(argv[4])};
   for (const double failure_interval_s : failure_intervals_s)
@@ -125,9 +125,9 @@
       }
       std::sort(sum.repairs.begin(), sum.repairs.end());
       std::printf("%17.0f s | %-13s | %.3f | %7zu | %8.1f | %6.1f | %4.1f | %8.1f%s\n", failure_interval_s,
-                  as_gang ? "as one" : "one by one", sum.running_fraction, sum.repairs.size(),
+                  as_gang ? "as a gang" : "one by one", sum.running_fraction, sum.repairs.size(),
                   percentile(sum.repairs, 0.5), percentile(sum.repairs, 0.99), sum.partial_gang_machines,
-                  sum.machines, sum.violations > 0 ? "  RULES BROKEN" : "");
+                  sum.machines, sum.violations > 0 ? "  INVARIANTS VIOLATED" : "");
       std::fflush(stdout);
     }
   return 0;
--- a/tests/gang_sim_test.cpp
+++ b/tests/gang_sim_test.cpp
@@ -73,7 +73,7 @@
   const auto job_id = cluster.submit(service_job(7));
   EXPECT_LT(time_until_running(cluster, job_id, 2, 60), 40);
   cluster.run(90);
-  EXPECT_EQ(cluster.starts(), 6U) << "the seventh makes no replica";
+  EXPECT_EQ(cluster.starts(), 6U) << "the seventh task belongs to no gang";
   EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
 }
 
@@ -242,7 +242,7 @@
   cluster.cloud_outage(30);
   cluster.rules().half_limit_s = 20 + 30;
   EXPECT_LT(time_until_running(cluster, job_id, 1, 60), 60);
-  EXPECT_TRUE(cluster.awaited_starts().contains(delayed_machine)) << "the start is not late";
+  EXPECT_TRUE(cluster.awaited_starts().contains(delayed_machine)) << "the start command was not delayed";
   cluster.run(cluster.now() + 110);
   EXPECT_EQ(cluster.whole(job_id), 1U);
   EXPECT_TRUE(cluster.broken().empty()) << listing(cluster.broken());
@@ -271,7 +271,7 @@
   std::uint32_t min_running = 2;
   for (const double until = cluster.now() + 150; cluster.now() < until; cluster.run(cluster.now() + 0.5))
     min_running = std::min(min_running, cluster.whole(job_id));
-  EXPECT_GE(min_running, 1U) << "none served";
+  EXPECT_GE(min_running, 1U) << "at some time no gang ran";
   for (std::uint32_t gang = 0; gang < 2; ++gang) {
     hosts.clear();
     for (std::uint32_t i = 0; i < kSpan; ++i) hosts.insert(machine_of(cluster, job_id, gang * kSpan + i));
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -84,7 +84,7 @@
         std::set<std::string> zones;
         if (!request.zone.empty()) zones.insert(request.zone);
         for (const auto& [index, machine_id] : start->tasks) {
-          EXPECT_TRUE(machine_ids.insert(machine_id).second) << "two members on " << machine_id.value;
+          EXPECT_TRUE(machine_ids.insert(machine_id).second) << "two tasks of a gang on " << machine_id.value;
           zones.insert(fleet.find(machine_id)->zone);
           assign_task({id, index}, machine_id);
         }
@@ -182,7 +182,7 @@
   model.fleet.refresh(*model.fleet.find(lost_machine));
   model.scheduler.tracker().on_task_failing(make_task_id(1), model.now);
   model.run_placement_pass();
-  EXPECT_EQ(model.stopping.size(), 3U) << "its peers go on";
+  EXPECT_EQ(model.stopping.size(), 3U) << "the other tasks of the gang were not stopped";
   // The gang is not restarted before the lost task is confirmed to have ended: it could run twice otherwise.
   model.stopping.erase(make_task_id(1));
   model.end_stopping_tasks();
@@ -254,7 +254,7 @@
     model.end_task(lost);
   }
   model.run_for(3);
-  EXPECT_EQ(model.assignments.size(), 3U) << "one of the two can run";
+  EXPECT_EQ(model.assignments.size(), 3U) << "exactly one of the two gangs can run";
 }
 
 // Small tasks take all resources as soon as they become free, so a gang can be placed only by reserving
@@ -283,7 +283,7 @@
     model.report_all_running();
     if (model.scheduler.tracker().phase(kFirstGang) == Phase::running) running_at = model.now;
   }
-  EXPECT_GT(running_at, 0) << small_started << " small tasks passed it";
+  EXPECT_GT(running_at, 0) << small_started << " small tasks started before the gang";
   // One partial reservation that expires, the pause after it, and the time that the tasks of a machine take
   // to end.
   EXPECT_LE(running_at, 2 * kStartTimeoutS + 26);
@@ -301,7 +301,7 @@
   EXPECT_EQ(model.reserved_cores(), 32);
   model.now += 2;
   model.run_placement_pass();
-  EXPECT_EQ(model.reserved_cores(), 0) << "kept for ever";
+  EXPECT_EQ(model.reserved_cores(), 0) << "the partial reservation did not expire";
   model.scheduler.remove_job({"job-000001"});
   model.apply_actions();
   EXPECT_EQ(model.reserved_cores(), 0);
@@ -322,11 +322,11 @@
   drain(0);
   drain(3);
   model.run_placement_pass();
-  EXPECT_TRUE(model.stopping.empty()) << "stopped without a place to go";
+  EXPECT_TRUE(model.stopping.empty()) << "a gang was stopped before machines for all its tasks were reserved";
   add_machine(model.fleet, 6, "a", 16);
   add_machine(model.fleet, 7, "a", 16);
   model.run_placement_pass();
-  EXPECT_EQ(model.stopping.size(), 3U) << "one at a time";
+  EXPECT_EQ(model.stopping.size(), 3U) << "only one gang may move at a time";
   EXPECT_EQ(model.scheduler.tracker().running_gangs({"job-000001"}), 1U);
   model.run_for(5);
   EXPECT_EQ(model.scheduler.tracker().running_gangs({"job-000001"}), 2U);
