--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -70,11 +70,13 @@
               },
               [this] {
                 return wire::PeerStatus{
-                    leader_.term(), gateway_.state_ok(), leader_.is_active_leader(),
+                    leader_.term(), gateway_.is_state_service_available(), leader_.is_active_leader(),
                     spread_workers_ ? wire::kFeatureHeartbeatForwarding : std::uint8_t{0}};
               },
               [this] { return desk_.load(); },
-              [this](wire::JobProgress progress) { gateway_.tell(gateway::Progressed{std::move(progress)}); },
+              [this](wire::JobProgress progress) {
+                gateway_.tell(gateway::JobProgressUpdate{std::move(progress)});
+              },
               [this](const std::string& node, wire::Frame frame) {
                 desk_.tell(heartbeat::PeerMessage{node, std::move(frame)});
               }}),
@@ -90,7 +92,7 @@
                [this] { elector_.tell(election::Resign{}); }, [this] { return relay_.any_peer(); },
                [this] { return relay_.peer_led_at(); },
                [this](wire::JobProgress progress) {
-                 gateway_.tell(gateway::Progressed{progress});
+                 gateway_.tell(gateway::JobProgressUpdate{progress});
                  relay_.tell(net::Broadcast{std::move(progress)});
                }}),
       desk_(loop, log,
--- a/src/gateway/admission.cpp
+++ b/src/gateway/admission.cpp
@@ -8,8 +8,9 @@
 constexpr double kRounding = 1e-6;
 }
 
-std::optional<RejectionReason> refusal(const wire::JobSpec& spec, const std::vector<TeamLimit>& teams,
-                                       const std::vector<wire::MachineType>& machine_types) {
+std::optional<RejectionReason> find_rejection_reason(const wire::JobSpec& spec,
+                                                     const std::vector<TeamLimit>& teams,
+                                                     const std::vector<wire::MachineType>& machine_types) {
   const auto team =
       std::find_if(teams.begin(), teams.end(), [&](const TeamLimit& item) { return item.name == spec.team; });
   if (team == teams.end()) return RejectionReason::unknown_team;
--- a/src/gateway/admission.hpp
+++ b/src/gateway/admission.hpp
@@ -17,7 +17,8 @@
 };
 
 // The reason why the job can never run; nothing if it can.
-std::optional<RejectionReason> refusal(const wire::JobSpec& spec, const std::vector<TeamLimit>& teams,
-                                       const std::vector<wire::MachineType>& machine_types);
+std::optional<RejectionReason> find_rejection_reason(const wire::JobSpec& spec,
+                                                     const std::vector<TeamLimit>& teams,
+                                                     const std::vector<wire::MachineType>& machine_types);
 
 }  // namespace bankhill::gateway
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -53,11 +53,13 @@
       jobs_(loop, log_, store, final_states_kept,
             [this](const JobId& id) { retry_after_.request_served(id.value); }) {}
 
-bool Gateway::state_ok() const { return store_.synced() && store_.update_age_s() < kStateSilenceS; }
+bool Gateway::is_state_service_available() const {
+  return store_.synced() && store_.update_age_s() < kStateSilenceS;
+}
 
-bool Gateway::healthy() const {
+bool Gateway::is_healthy() const {
   // Without the catalogue no submission can be judged, but questions about known jobs can be answered.
-  if (state_ok()) return !jobs_.machine_types().empty() || !jobs_.empty();
+  if (is_state_service_available()) return !jobs_.machine_types().empty() || !jobs_.empty();
   // Without the state service this node is still of use through a peer.
   if (!relay_.peer_with_state_service().empty()) return true;
   // When nobody has it, leaving the load balancer would help no one and delay the return. Where some are not
@@ -68,14 +70,14 @@
 
 void Gateway::on(StoreChanged& message) { jobs_.apply(*message.changes); }
 
-void Gateway::on(Progressed& message) { jobs_.update_progress(std::move(message.progress)); }
+void Gateway::on(JobProgressUpdate& message) { jobs_.update_progress(std::move(message.progress)); }
 
 void Gateway::on(UserRequest& message) {
   const auto route = parse_route(message.request.method, message.request.path);
   const auto call = std::make_shared<PendingCall>(
       PendingCall{std::move(message.request), std::move(message.reply), message.relayed, 0});
   std::visit(Overloaded{[&](const HealthRoute&) {
-                          call->reply(healthy() ? responses::healthy() : responses::unavailable());
+                          call->reply(is_healthy() ? responses::healthy() : responses::unavailable());
                         },
                         [&](const SubmitRoute&) { submit(call); },
                         [&](const StatusRoute& target) { status(call, target.job); },
@@ -144,12 +146,12 @@
   } catch (const wire::ProtocolError& malformed) {
     return call->reply(responses::malformed(malformed.what()));
   }
-  if (!state_ok()) return unavailable(call);
+  if (!is_state_service_available()) return unavailable(call);
   const auto& spec = submission->spec;
   // Known, though it may have left memory: that costs no put, so it is answered also when no more can be had.
   if (jobs_.find(spec.id) != nullptr || store_.has(wire::job_key(spec.id)))
     return answer_known(call, spec.id);
-  if (const auto reason = refusal(spec, teams_, jobs_.machine_types()))
+  if (const auto reason = find_rejection_reason(spec, teams_, jobs_.machine_types()))
     return reject(*submission, {*reason, {}});
   submission->values = render(spec);
   if (submission->values->empty()) return reject(*submission, {RejectionReason::description_too_long, {}});
@@ -278,7 +280,7 @@
 void Gateway::status(const CallPtr& call, const JobId& id) {
   const auto* known = jobs_.find(id);
   const bool is_final = known != nullptr && jobs_.is_over(id, *known);
-  if (!is_final && !state_ok()) return unavailable(call);
+  if (!is_final && !is_state_service_available()) return unavailable(call);
   answer_if_accepted(call, id, [call] { call->reply(responses::no_such_job()); });
 }
 
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -36,12 +36,12 @@
   bool relayed = false;  // by a peer, which could not serve it
 };
 // The leader tells of a running job.
-struct Progressed {
+struct JobProgressUpdate {
   wire::JobProgress progress;
 };
 
 // The actor that answers users.
-class Gateway : public runtime::Actor<Gateway, StoreChanged, UserRequest, Progressed> {
+class Gateway : public runtime::Actor<Gateway, StoreChanged, UserRequest, JobProgressUpdate> {
  public:
   // `policy`: in force at any time.
   Gateway(runtime::Loop& loop, runtime::Log log, state::Store& store, net::Relay& relay,
@@ -49,12 +49,12 @@
 
   void on(StoreChanged& message);
   void on(UserRequest& message);
-  void on(Progressed& message);
+  void on(JobProgressUpdate& message);
 
   // Whether users are to be sent here.
-  bool healthy() const;
+  bool is_healthy() const;
   // Whether this controller reaches the state service.
-  bool state_ok() const;
+  bool is_state_service_available() const;
 
  private:
   struct PendingCall {  // one request under way
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -18,28 +18,28 @@
   spec.team = "red";
   spec.request = {8, 0, 32};
   spec.task_count = 50;
-  EXPECT_FALSE(refusal(spec, teams, {machine_type})) << "an array needs room for one task";
+  EXPECT_FALSE(find_rejection_reason(spec, teams, {machine_type})) << "an array needs room for one task";
   auto other = spec;
   other.kind = wire::JobKind::service;
-  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::exceeds_team_limit)
+  EXPECT_EQ(find_rejection_reason(other, teams, {machine_type}), RejectionReason::exceeds_team_limit)
       << "a service needs room for all";
   const std::vector<TeamLimit> guests = {{"red", {std::numeric_limits<double>::infinity(), 0, 0}}};
-  EXPECT_FALSE(refusal(other, guests, {machine_type})) << "a team without a limit";
+  EXPECT_FALSE(find_rejection_reason(other, guests, {machine_type})) << "a team without a limit";
   other = spec;
   other.team = "blue";
-  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::unknown_team);
+  EXPECT_EQ(find_rejection_reason(other, teams, {machine_type}), RejectionReason::unknown_team);
   other = spec;
   other.request.ram_gb = 33;
-  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::fits_no_machine_type);
+  EXPECT_EQ(find_rejection_reason(other, teams, {machine_type}), RejectionReason::fits_no_machine_type);
   other = spec;
   other.request.accelerators = 1;
-  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::exceeds_team_limit);
+  EXPECT_EQ(find_rejection_reason(other, teams, {machine_type}), RejectionReason::exceeds_team_limit);
   other = spec;
   other.machine_types = std::vector<std::string>{"x"};
-  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::fits_no_machine_type);
+  EXPECT_EQ(find_rejection_reason(other, teams, {machine_type}), RejectionReason::fits_no_machine_type);
   other = spec;
   other.zone = "b";
-  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::fits_no_machine_type);
+  EXPECT_EQ(find_rejection_reason(other, teams, {machine_type}), RejectionReason::fits_no_machine_type);
 }
 
 }  // namespace
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -589,10 +589,10 @@
   auto spec = parse_job(Json::parse(kFullJob));
   spec.request.accelerators = 1.5;
   const auto told = [&] {
-    const auto reason = gateway::refusal(spec, teams, types);
+    const auto reason = gateway::find_rejection_reason(spec, teams, types);
     return reason ? gateway::explain({*reason, {}}) : std::string();
   };
-  EXPECT_FALSE(gateway::refusal(spec, teams, types));
+  EXPECT_FALSE(gateway::find_rejection_reason(spec, teams, types));
   spec.request.ram_gb = 65;
   EXPECT_EQ(told(), "a task fits no allowed machine type");
   spec.request.cores = 101;
