--- a/src/gateway/admission.hpp
+++ b/src/gateway/admission.hpp
@@ -1,4 +1,5 @@
-// Whether a job can ever run. Pure.
+// Admission check: decides from a job's specification whether the job can ever run. Pure: no I/O and no
+// clocks.
 #pragma once
 
 #include <optional>
@@ -10,13 +11,13 @@
 
 namespace bankhill::gateway {
 
-// What a team may use at most.
+// The most that a team may use at one time.
 struct TeamLimit {
   std::string name;
-  wire::Resources limit;  // cores and accelerators
+  wire::Resources limit;  // Only cores and accelerators are limited.
 };
 
-// The reason why the job can never run; nothing if it can.
+// Returns the reason why the job can never run, or nothing if it can run.
 std::optional<RejectionReason> find_rejection_reason(const wire::JobSpec& spec,
                                                      const std::vector<TeamLimit>& teams,
                                                      const std::vector<wire::MachineType>& machine_types);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -15,23 +15,27 @@
 using wire::JobState;
 
 namespace {
-// The state service is asked at least every second: this long without an answer means it does not serve us.
-constexpr double kStateSilenceS = 2.5;
-// After this long without it, a controller that does not hear all its peers takes itself for the one that
-// is cut off, and not the service for being out.
-constexpr double kCutOffS = 15;
-constexpr double kRelayS = 1.5;  // users wait 2 s for a poll
+// The state service is queried at least every second, so this long without an update means that it does not
+// serve this controller.
+constexpr double kStateUpdateTimeoutS = 2.5;
+// After this long without the state service, a controller that cannot reach all its peers assumes that it is
+// partitioned itself, rather than that the service is down.
+constexpr double kPartitionTimeoutS = 15;
+// Shorter than the 2 s that users wait for the response to a status poll.
+constexpr double kRelayTimeoutS = 1.5;
 constexpr int kMaxSubmitAttempts = 2;
 constexpr int kMaxCancelAttempts = 5;
-// After a submission turned out to have been accepted elsewhere, which only a failed transaction showed.
-constexpr double kLookFirstS = 10;
+// After the transaction of a submission failed because another controller had accepted the same job, this
+// controller looks submissions up before it commits them, for this long.
+constexpr double kLookUpBeforeCommitS = 10;
 
-// Of the write limit: what those turned away may count on beside the leader's bookkeeping.
-constexpr double kUsersWrites = 0.75;
+// Share of the state service's write limit that rate-limited users can count on; the leader's bookkeeping
+// needs the rest.
+constexpr double kUserWriteShare = 0.75;
 
-double users_writes(const state::Limits& limits) { return kUsersWrites * limits.writes_per_s; }
+double user_writes_per_s(const state::Limits& limits) { return kUserWriteShare * limits.writes_per_s; }
 
-// One function of several, chosen by the type of what a variant holds.
+// Visitor that calls the function for the type that the variant holds.
 template <class... Functions>
 struct Overloaded : Functions... {
   using Functions::operator()...;
@@ -48,24 +52,25 @@
       relay_(relay),
       policy_(policy),
       teams_(std::move(teams)),
-      retry_after_(
-          {std::max(1.0, users_writes(store.limits()) / static_cast<double>(store.limits().controllers))}),
+      retry_after_({std::max(
+          1.0, user_writes_per_s(store.limits()) / static_cast<double>(store.limits().controllers))}),
       jobs_(loop, log_, store, final_states_kept,
             [this](const JobId& id) { retry_after_.request_served(id.value); }) {}
 
 bool Gateway::is_state_service_available() const {
-  return store_.synced() && store_.update_age_s() < kStateSilenceS;
+  return store_.synced() && store_.update_age_s() < kStateUpdateTimeoutS;
 }
 
 bool Gateway::is_healthy() const {
-  // Without the catalogue no submission can be judged, but questions about known jobs can be answered.
+  // Without the catalogue of machine types submissions cannot be checked, but status requests for known jobs
+  // can be answered.
   if (is_state_service_available()) return !jobs_.machine_types().empty() || !jobs_.empty();
-  // Without the state service this node is still of use through a peer.
+  // Without the state service this controller can still relay requests to a peer that reaches it.
   if (!relay_.peer_with_state_service().empty()) return true;
-  // When nobody has it, leaving the load balancer would help no one and delay the return. Where some are not
-  // heard, they may be those who have it.
+  // If no controller reaches the state service, leaving the load balancer would help no user and delay the
+  // recovery. If some peers are unreachable, they may be the ones that reach the state service.
   if (!store_.synced()) return false;
-  return relay_.all_peers() || (relay_.any_peer() && store_.update_age_s() < kCutOffS);
+  return relay_.all_peers() || (relay_.any_peer() && store_.update_age_s() < kPartitionTimeoutS);
 }
 
 void Gateway::on(StoreChanged& message) { jobs_.apply(*message.changes); }
@@ -79,66 +84,69 @@
   std::visit(Overloaded{[&](const HealthRoute&) {
                           call->reply(is_healthy() ? responses::healthy() : responses::unavailable());
                         },
-                        [&](const SubmitRoute&) { submit(call); },
-                        [&](const StatusRoute& target) { status(call, target.job); },
-                        [&](const CancelRoute& target) { cancel(call, target.job); },
+                        [&](const SubmitRoute&) { handle_submit(call); },
+                        [&](const StatusRoute& target) { handle_status(call, target.job); },
+                        [&](const CancelRoute& target) { handle_cancel(call, target.job); },
                         [&](RouteError error) { call->reply(responses::route_error(error)); }},
              route);
 }
 
-// The state service's limit of writes is used up: the later the more are waiting for it.
-Response Gateway::rate_limited(const JobId& id) {
+// Returns the response for an exhausted write limit of the state service: the more users are waiting, the
+// later they are told to retry.
+Response Gateway::rate_limited_response(const JobId& id) {
   return responses::unavailable_for(retry_after_.retry_after_s(loop().now(), id.value, loop().uniform(0, 1)));
 }
 
-// This node cannot serve the call: a peer with the state service may. Otherwise the user is told at
-// once when to come back.
-void Gateway::unavailable(const CallPtr& call) {
+// Relays a call that this controller cannot serve to a peer that reaches the state service. Without such a
+// peer, the user is told at once when to retry.
+void Gateway::relay_or_respond_unavailable(const CallPtr& call) {
   const auto peer = call->relayed ? std::string() : relay_.peer_with_state_service();
   if (peer.empty()) return call->reply(responses::unavailable());
-  relay_.tell(net::RelayRequest{peer, call->request, kRelayS, [call](Response response) {
+  relay_.tell(net::RelayRequest{peer, call->request, kRelayTimeoutS, [call](Response response) {
                                   if (response.status == 0) return call->reply(responses::unavailable());
                                   call->reply(std::move(response));
                                 }});
 }
 
-void Gateway::look_up(const CallPtr& call, const JobId& id, std::function<void(const KnownJob*)> done) {
+void Gateway::look_up_job(const CallPtr& call, const JobId& id, std::function<void(const KnownJob*)> done) {
   jobs_.look_up(id, guard([this, call, done = std::move(done)](const JobLookup& lookup) {
-                  if (lookup.status == LookupStatus::unavailable) return unavailable(call);
+                  if (lookup.status == LookupStatus::unavailable) return relay_or_respond_unavailable(call);
                   done(lookup.job);
                 }));
 }
 
-void Gateway::answer_if_accepted(const CallPtr& call, const JobId& id, std::function<void()> otherwise) {
-  look_up(call, id, [this, call, id, otherwise = std::move(otherwise)](const KnownJob* job) {
-    if (job == nullptr) return otherwise();
-    answer_status(call, id, *job);
+void Gateway::respond_if_accepted(const CallPtr& call, const JobId& id,
+                                  std::function<void()> if_not_accepted) {
+  look_up_job(call, id, [this, call, id, if_not_accepted = std::move(if_not_accepted)](const KnownJob* job) {
+    if (job == nullptr) return if_not_accepted();
+    respond_with_status(call, id, *job);
   });
 }
 
-void Gateway::answer_status(const CallPtr& call, const JobId& id, const KnownJob& job) const {
+void Gateway::respond_with_status(const CallPtr& call, const JobId& id, const KnownJob& job) const {
   call->reply(responses::status(job_status(jobs_, id, job)));
 }
 
-// Of a job that was accepted, by this controller or another.
-void Gateway::answer_known(const CallPtr& call, const JobId& id) {
-  answer_if_accepted(call, id, [this, call] { unavailable(call); });
+// Answers with the status of a job that this controller or another one has accepted.
+void Gateway::respond_with_accepted_job_status(const CallPtr& call, const JobId& id) {
+  respond_if_accepted(call, id, [this, call] { relay_or_respond_unavailable(call); });
 }
 
 void Gateway::commit(const CallPtr& call, state::Transaction transaction,
-                     std::function<void(Outcome)> decided) {
-  store_.tell(state::Commit{std::move(transaction), guard([this, call, decided = std::move(decided)](
+                     std::function<void(Outcome)> on_outcome) {
+  store_.tell(state::Commit{std::move(transaction), guard([this, call, on_outcome = std::move(on_outcome)](
                                                               const state::CommitResult& result) {
-                              if (result.outcome == Outcome::refused) return unavailable(call);
-                              decided(result.outcome);
+                              if (result.outcome == Outcome::refused)
+                                return relay_or_respond_unavailable(call);
+                              on_outcome(result.outcome);
                             })});
 }
 
-bool Gateway::may_try_again(PendingCall& call, int max_attempts) {
+bool Gateway::can_retry_after_failure(PendingCall& call, int max_attempts) {
   return ++call.failed_attempts < max_attempts;
 }
 
-void Gateway::submit(const CallPtr& call) {
+void Gateway::handle_submit(const CallPtr& call) {
   const auto submission = std::make_shared<Submission>();
   submission->call = call;
   try {
@@ -146,65 +154,67 @@
   } catch (const wire::ProtocolError& malformed) {
     return call->reply(responses::malformed(malformed.what()));
   }
-  if (!is_state_service_available()) return unavailable(call);
+  if (!is_state_service_available()) return relay_or_respond_unavailable(call);
   const auto& spec = submission->spec;
-  // Known, though it may have left memory: that costs no put, so it is answered also when no more can be had.
+  // The job was accepted before, although it may have been evicted from memory. Answering needs no write, so
+  // it works even when the write limit is exhausted.
   if (jobs_.find(spec.id) != nullptr || store_.has(wire::job_key(spec.id)))
-    return answer_known(call, spec.id);
+    return respond_with_accepted_job_status(call, spec.id);
   if (const auto reason = find_rejection_reason(spec, teams_, jobs_.machine_types()))
     return reject(*submission, {*reason, {}});
-  submission->values = render(spec);
+  submission->values = build_job_values(spec);
   if (submission->values->empty()) return reject(*submission, {RejectionReason::description_too_long, {}});
   check_dependencies(submission);
 }
 
-// For good. A job accepted before is answered with its state, whatever speaks against it now.
+// Rejects the job permanently, unless it was accepted before: then the answer is its status, even if the job
+// would be rejected now.
 void Gateway::reject(const Submission& submission, const Rejection& rejection) {
-  // What was found without them stays undecided, also when they become known meanwhile.
+  // A reason found without the machine types is not final, even if the types become known before the answer.
   const bool undecided = jobs_.machine_types().empty();
-  answer_if_accepted(submission.call, submission.spec.id, [call = submission.call, rejection, undecided] {
+  respond_if_accepted(submission.call, submission.spec.id, [call = submission.call, rejection, undecided] {
     call->reply(undecided ? responses::unavailable() : responses::rejected(rejection));
   });
 }
 
-// The values that accept the job now; none if they cannot be stored.
-wire::KeyedValues Gateway::render(const wire::JobSpec& spec) const {
+// Returns the keys and values whose commit accepts the job now; empty if they cannot be stored.
+wire::KeyedValues Gateway::build_job_values(const wire::JobSpec& spec) const {
   wire::JobRecord record{spec, JobState::accepted, loop().wall(), 0, 0, std::nullopt};
-  // Settled here, once and with the job: another controller's clock and policy never come to another cutoff
-  // (invariant 31). A service is never over.
+  // The cutoff is computed once and stored with the job, so that another controller with a different clock or
+  // policy cannot arrive at a different cutoff (invariant 31). A service never ends and has no cutoff.
   if (spec.kind != wire::JobKind::service)
     record.cutoff = policy_.cutoff(spec.team, spec.job_class, record.accepted_at);
   auto values = wire::stored_job(record, value_bytes(), store_.limits().txn_ops);
   if (!values.empty() || !record.cutoff) return values;
-  // A calendar is no reason to refuse what fits without it.
+  // A job that can be stored without its cutoff must not be rejected because of the cutoff.
   record.cutoff.reset();
   return wire::stored_job(record, value_bytes(), store_.limits().txn_ops);
 }
 
 std::size_t Gateway::value_bytes() const { return wire::usable_bytes(store_.limits().value_kb); }
 
-// Users name only jobs that were accepted, by any node and at any time: one that is not known here is looked
-// for as freshly as the job itself.
+// Users name only jobs that some controller accepted at some time, so a dependency that is unknown here is
+// looked up with a read barrier, as the job itself is.
 void Gateway::check_dependencies(const SubmissionPtr& submission) {
-  const auto& needs = submission->spec.depends_on;
-  for (auto& checked = submission->dependencies_checked; checked < needs.size(); ++checked) {
-    const auto& need = needs[checked];
-    const auto* known = jobs_.find(need);
+  const auto& dependencies = submission->spec.depends_on;
+  for (auto& checked = submission->dependencies_checked; checked < dependencies.size(); ++checked) {
+    const auto& dependency = dependencies[checked];
+    const auto* known = jobs_.find(dependency);
     if (known != nullptr && known->is_service)
-      return reject(*submission, {RejectionReason::dependency_is_service, need});
-    // Noted now: it may have left memory when the answer is given.
-    if (jobs_.is_cancelled(need)) submission->dependency_cancelled = true;
-    if (!jobs_.surely_accepted(need)) return look_for_dependency(submission, need);
+      return reject(*submission, {RejectionReason::dependency_is_service, dependency});
+    // Recorded now, because the dependency may be evicted from memory before the response is sent.
+    if (jobs_.is_cancelled(dependency)) submission->dependency_cancelled = true;
+    if (!jobs_.is_known_accepted(dependency)) return look_up_dependency(submission, dependency);
   }
   accept(submission);
 }
 
-void Gateway::look_for_dependency(const SubmissionPtr& submission, const JobId& need) {
-  look_up(submission->call, need, [this, submission, need](const KnownJob* job) {
-    if (job == nullptr) return reject(*submission, {RejectionReason::dependency_never_accepted, need});
-    // Fetched, it may leave memory again before the next look.
+void Gateway::look_up_dependency(const SubmissionPtr& submission, const JobId& dependency) {
+  look_up_job(submission->call, dependency, [this, submission, dependency](const KnownJob* job) {
+    if (job == nullptr) return reject(*submission, {RejectionReason::dependency_never_accepted, dependency});
+    // Counted now, because the fetched job may be evicted from memory again before the next check.
     if (!job->is_service) ++submission->dependencies_checked;
-    if (jobs_.is_cancelled(need)) submission->dependency_cancelled = true;
+    if (jobs_.is_cancelled(dependency)) submission->dependency_cancelled = true;
     submission->values.reset();
     check_dependencies(submission);
   });
@@ -213,16 +223,17 @@
 void Gateway::accept(const SubmissionPtr& submission) {
   const auto& call = submission->call;
   const auto& id = submission->spec.id;
-  if (!submission->values) submission->values = render(submission->spec);
+  if (!submission->values) submission->values = build_job_values(submission->spec);
   if (submission->values->empty())
     return call->reply(responses::rejected({RejectionReason::description_too_long, {}}));
-  // Beyond the limit each try cost two requests, its own and a peer's, again each second: at four times
-  // fjordskatt-fleet 40,000 of them, and what else the controllers needed was refused with them.
-  if (store_.is_write_limit_exhausted()) return call->reply(rate_limited(id));
-  // Users who repeat submissions at all controllers at once: each that has not heard of the job yet would
-  // spend a put on a condition that fails. One read barrier serves all of them.
-  if (loop().now() < look_first_until_ && !std::exchange(submission->looked_elsewhere, true))
-    return answer_if_accepted(call, id, [this, submission] {
+  // Without this check each attempt beyond the write limit cost two requests, its own and a peer's, and was
+  // repeated every second. At four times the load of fjordskatt-fleet that made 40,000 requests, and other
+  // requests that the controllers needed were refused along with them.
+  if (store_.is_write_limit_exhausted()) return call->reply(rate_limited_response(id));
+  // Some users repeat a submission at all controllers at the same time. Each controller that does not know
+  // the job yet would spend a write on a condition that fails. One read barrier serves all these submissions.
+  if (loop().now() < look_up_before_commit_until_ && !std::exchange(submission->looked_up_job, true))
+    return respond_if_accepted(call, id, [this, submission] {
       submission->values.reset();
       accept(submission);
     });
@@ -236,59 +247,61 @@
   for (auto& [key, value] : *values)
     transaction.writes.push_back({std::move(key), std::move(value), std::nullopt});
   commit(submission->call, std::move(transaction),
-         [this, submission](Outcome outcome) { acceptance_decided(submission, outcome); });
+         [this, submission](Outcome outcome) { handle_acceptance_outcome(submission, outcome); });
 }
 
-void Gateway::acceptance_decided(const SubmissionPtr& submission, Outcome outcome) {
+void Gateway::handle_acceptance_outcome(const SubmissionPtr& submission, Outcome outcome) {
   const auto& call = submission->call;
   const auto& id = submission->spec.id;
   switch (outcome) {
     case Outcome::committed:
-      return accepted(*submission);
+      return respond_accepted(*submission);
     case Outcome::invalid:
-      // The service's limits are below those announced.
+      // The limits of the state service are lower than the configured ones.
       return reject(*submission, {RejectionReason::description_too_long, {}});
     case Outcome::conflict:
-      if (call->failed_attempts == 0) look_first_until_ = loop().now() + kLookFirstS;
-      return answer_known(call, id);
+      if (call->failed_attempts == 0) look_up_before_commit_until_ = loop().now() + kLookUpBeforeCommitS;
+      return respond_with_accepted_job_status(call, id);
     case Outcome::rate_limited:
-      return call->reply(rate_limited(id));
+      return call->reply(rate_limited_response(id));
     case Outcome::refused:
-      return unavailable(call);
+      return relay_or_respond_unavailable(call);
     case Outcome::unknown:
-      // Repeating it tells: a conflict means that it was applied.
-      if (may_try_again(*call, kMaxSubmitAttempts)) return accept(submission);
-      return unavailable(call);
+      // Repeating the transaction resolves the unknown outcome: a conflict means that it was applied.
+      if (can_retry_after_failure(*call, kMaxSubmitAttempts)) return accept(submission);
+      return relay_or_respond_unavailable(call);
   }
 }
 
-void Gateway::accepted(const Submission& submission) {
+void Gateway::respond_accepted(const Submission& submission) {
   const auto& spec = submission.spec;
   log_->debug("job {}: accepted, {} of {}, {} tasks of {} cores", spec.id.value, spec.job_class, spec.team,
               spec.task_count, spec.request.cores);
-  const bool cancelled = submission.dependency_cancelled ||
-                         std::any_of(spec.depends_on.begin(), spec.depends_on.end(),
-                                     [this](const JobId& need) { return jobs_.is_cancelled(need); });
-  // Invariant 15: what one of them waits for may have been cancelled long ago and not be known here.
-  const bool doubt = std::any_of(spec.depends_on.begin(), spec.depends_on.end(), [this](const JobId& need) {
-    return jobs_.dependencies().may_be_cancelled(need);
-  });
-  if (!cancelled && doubt) return answer_known(submission.call, spec.id);
+  const bool cancelled =
+      submission.dependency_cancelled ||
+      std::any_of(spec.depends_on.begin(), spec.depends_on.end(),
+                  [this](const JobId& dependency) { return jobs_.is_cancelled(dependency); });
+  // Invariant 15: a job that a dependency itself waits for may have been cancelled long ago, without being
+  // known here.
+  const bool may_be_cancelled = std::any_of(
+      spec.depends_on.begin(), spec.depends_on.end(),
+      [this](const JobId& dependency) { return jobs_.dependencies().may_be_cancelled(dependency); });
+  if (!cancelled && may_be_cancelled) return respond_with_accepted_job_status(submission.call, spec.id);
   submission.call->reply(responses::accepted(spec.id, cancelled));
 }
 
-void Gateway::status(const CallPtr& call, const JobId& id) {
+void Gateway::handle_status(const CallPtr& call, const JobId& id) {
   const auto* known = jobs_.find(id);
-  const bool is_final = known != nullptr && jobs_.is_over(id, *known);
-  if (!is_final && !is_state_service_available()) return unavailable(call);
-  answer_if_accepted(call, id, [call] { call->reply(responses::no_such_job()); });
+  const bool has_ended = known != nullptr && jobs_.has_ended(id, *known);
+  if (!has_ended && !is_state_service_available()) return relay_or_respond_unavailable(call);
+  respond_if_accepted(call, id, [call] { call->reply(responses::no_such_job()); });
 }
 
-void Gateway::cancel(const CallPtr& call, const JobId& id) {
-  look_up(call, id, [this, call, id](const KnownJob* job) {
+void Gateway::handle_cancel(const CallPtr& call, const JobId& id) {
+  look_up_job(call, id, [this, call, id](const KnownJob* job) {
     if (job == nullptr) return call->reply(responses::no_such_job());
-    if (jobs_.is_over(id, *job)) return answer_status(call, id, *job);
-    // It cannot be written anew as long as it is not read.
+    if (jobs_.has_ended(id, *job)) return respond_with_status(call, id, *job);
+    // A record that could not be read cannot be rewritten as cancelled.
     if (!job->record) return call->reply(responses::unavailable());
     commit_cancellation(call, id, *job);
   });
@@ -296,16 +309,16 @@
 
 void Gateway::commit_cancellation(const CallPtr& call, const JobId& id, const KnownJob& job) {
   state::Transaction transaction;
-  // Invariant 8: done and cancelled race for this revision.
+  // Invariant 8: of a completion and a cancellation, only the first to commit on this revision succeeds.
   transaction.conditions = {{wire::job_key(id), job.revision}};
   transaction.writes = {{wire::job_key(id),
                          final_record_json(*job.record, JobState::cancelled, loop().wall(), value_bytes()),
                          std::nullopt}};
   commit(call, std::move(transaction),
-         [this, call, id](Outcome outcome) { cancellation_decided(call, id, outcome); });
+         [this, call, id](Outcome outcome) { handle_cancellation_outcome(call, id, outcome); });
 }
 
-void Gateway::cancellation_decided(const CallPtr& call, const JobId& id, Outcome outcome) {
+void Gateway::handle_cancellation_outcome(const CallPtr& call, const JobId& id, Outcome outcome) {
   switch (outcome) {
     case Outcome::committed:
       log_->info("job {}: cancelled", id.value);
@@ -314,10 +327,10 @@
       return call->reply(responses::unavailable());
     case Outcome::refused:
     case Outcome::invalid:
-      return unavailable(call);
+      return relay_or_respond_unavailable(call);
     case Outcome::conflict:
     case Outcome::unknown:
-      if (may_try_again(*call, kMaxCancelAttempts)) return cancel(call, id);
+      if (can_retry_after_failure(*call, kMaxCancelAttempts)) return handle_cancel(call, id);
       return call->reply(responses::unavailable());
   }
 }
--- a/src/gateway/job_index.cpp
+++ b/src/gateway/job_index.cpp
@@ -8,7 +8,7 @@
 using wire::JobState;
 
 namespace {
-// A job that is over needs neither.
+// Drops the record and the progress, which only live jobs need.
 void drop_live_state(KnownJob& job) {
   job.record.reset();
   job.progress = {};
@@ -16,12 +16,12 @@
 }  // namespace
 
 JobIndex::JobIndex(runtime::Loop& loop, runtime::Log log, state::Store& store, std::size_t final_jobs_kept,
-                   FirstSeen first_seen)
+                   FirstSeenCallback on_first_seen)
     : loop_(loop),
       log_(std::move(log)),
       store_(store),
       final_jobs_kept_(final_jobs_kept),
-      first_seen_(std::move(first_seen)),
+      on_first_seen_(std::move(on_first_seen)),
       key_fetcher_(loop, store) {}
 
 const KnownJob* JobIndex::find(const JobId& id) const {
@@ -29,11 +29,11 @@
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-bool JobIndex::surely_accepted(const JobId& id) const {
+bool JobIndex::is_known_accepted(const JobId& id) const {
   return jobs_.contains(id) || dependencies_.was_accepted(id);
 }
 
-bool JobIndex::is_over(const JobId& id, const KnownJob& job) const {
+bool JobIndex::has_ended(const JobId& id, const KnownJob& job) const {
   return job.state != JobState::accepted || dependencies_.is_cancelled(id);
 }
 
@@ -43,16 +43,17 @@
 }
 
 void JobIndex::apply(const std::vector<state::Change>& changes) {
-  // Jobs last: what they depend on may stand under further keys of the same transaction.
+  // Job records are applied last: parts of their dependency lists may be stored under other keys of the same
+  // transaction.
   for (const auto& change : changes) {
     apply_catalogue(change);
     apply_dependency_part(change);
   }
   for (const auto& change : changes)
     if (change.key.starts_with(wire::kJobKeyPrefix) && change.data)
-      learn(JobId{change.key.substr(wire::kJobKeyPrefix.size())}, {*change.data, change.revision});
+      apply_record(JobId{change.key.substr(wire::kJobKeyPrefix.size())}, {*change.data, change.revision});
   fetch_unknown_dependencies();
-  forget_oldest();
+  evict_oldest_final_jobs();
 }
 
 void JobIndex::apply_catalogue(const state::Change& change) {
@@ -75,63 +76,65 @@
     found->second.progress = std::move(progress);
 }
 
-void JobIndex::learn(const JobId& id, const state::Entry& entry) {
+void JobIndex::apply_record(const JobId& id, const state::Entry& entry) {
   if (const auto* known = find(id); known != nullptr && known->revision >= entry.revision) return;
   auto record = store_.try_parse(wire::job_key(id), entry.revision,
                                  [&entry] { return wire::parse_job_record(entry.data); });
-  if (!record) return learn_unreadable(id, entry);
+  if (!record) return apply_unreadable_record(id, entry);
   auto& job = jobs_[id];
-  const bool first_seen = job.revision.value == 0;
-  if (first_seen) first_seen_(id);
-  const bool was_final = job.state != JobState::accepted;
+  const bool is_first_seen = job.revision.value == 0;
+  if (is_first_seen) on_first_seen_(id);
+  const bool had_ended = job.state != JobState::accepted;
   job.revision = entry.revision;
   job.record_unreadable = job.phase_unknown = false;
   job.state = record->state;
   job.task_count = record->spec.task_count;
   job.is_service = record->spec.kind == wire::JobKind::service;
-  if (job.state == JobState::accepted && first_seen) add_dependencies(id, *record, entry.revision);
+  if (job.state == JobState::accepted && is_first_seen) add_dependencies(id, *record, entry.revision);
   update_dependencies(id, model::dependency_info(job.state, entry.revision));
   if (job.state == JobState::accepted) {
     job.record = std::move(*record);
     return;
   }
   drop_live_state(job);
-  if (!was_final) final_order_.push_back(id);
+  if (!had_ended) final_order_.push_back(id);
 }
 
-// A job stays known although its record cannot be read: what of it can be told is told, and what was known of
-// it before stays. Whoever waits for it waits on.
-void JobIndex::learn_unreadable(const JobId& id, const state::Entry& entry) {
-  const auto remains = wire::parse_partial_job_record(entry.data);
+// A job whose record cannot be parsed stays in the index, with the fields that can be parsed and what was
+// known before. Jobs that depend on it keep waiting.
+void JobIndex::apply_unreadable_record(const JobId& id, const state::Entry& entry) {
+  const auto partial_record = wire::parse_partial_job_record(entry.data);
   auto& job = jobs_[id];
   job.revision = entry.revision;
   job.record_unreadable = true;
-  if (job.state != JobState::accepted) return;  // for good
-  job.phase_unknown = !remains.state;
-  job.state = remains.state.value_or(JobState::accepted);
-  if (remains.task_count > 0) job.task_count = remains.task_count;
+  if (job.state != JobState::accepted) return;  // A final state never changes.
+  job.phase_unknown = !partial_record.state;
+  job.state = partial_record.state.value_or(JobState::accepted);
+  if (partial_record.task_count > 0) job.task_count = partial_record.task_count;
   update_dependencies(id, model::dependency_info(job.state, entry.revision));
   if (job.state == JobState::accepted) return;
   drop_live_state(job);
   final_order_.push_back(id);
 }
 
-// A record read by itself. One of a live job comes with the watch, in order and with all that belongs to it.
-void JobIndex::learn_if_final(const JobId& id, const state::Entry& entry) {
-  if (wire::parse_partial_job_record(entry.data).state != JobState::accepted) learn(id, entry);
+// Applies a record that was fetched singly, if its job has ended. The record of a live job arrives with the
+// watch instead, in order and together with the parts of its dependency list.
+void JobIndex::apply_record_if_final(const JobId& id, const state::Entry& entry) {
+  if (wire::parse_partial_job_record(entry.data).state != JobState::accepted) apply_record(id, entry);
 }
 
-void JobIndex::update_dependencies(const JobId& id, const model::DependencyInfo& fact) {
-  dependencies_.update(id, fact);
-  dependencies_.take_updates();  // what has become of a job is asked when its user asks
+void JobIndex::update_dependencies(const JobId& id, const model::DependencyInfo& info) {
+  dependencies_.update(id, info);
+  dependencies_.take_updates();  // Discarded: the status of a job is computed when a user requests it.
 }
 
-model::DependencyInfo JobIndex::fact(const JobId& id) const {
+model::DependencyInfo JobIndex::known_dependency_info(const JobId& id) const {
   const auto* job = find(id);
   return job == nullptr ? model::DependencyInfo{} : model::dependency_info(job->state, job->revision);
 }
 
-// Adds what stands under further keys to the job's dependencies; false if some of it could not be read.
+// Appends the parts of the dependency list that are stored under keys of their own. Returns false if a part
+// is missing or cannot be parsed.
 bool JobIndex::append_dependency_parts(const JobId& id, wire::JobRecord& record, wire::KeyRevision revision) {
   bool complete = true;
   for (std::uint32_t part = 0; part < record.dependency_parts; ++part) {
@@ -140,13 +143,13 @@
       complete = false;
       continue;
     }
-    auto needs = store_.try_parse(found->first, revision,
-                                  [&found] { return wire::parse_dependencies_part(found->second); });
-    if (!needs) {
+    auto dependencies = store_.try_parse(found->first, revision,
+                                         [&found] { return wire::parse_dependencies_part(found->second); });
+    if (!dependencies) {
       complete = false;
       continue;
     }
-    for (auto& need : *needs) record.spec.depends_on.push_back(std::move(need));
+    for (auto& dependency : *dependencies) record.spec.depends_on.push_back(std::move(dependency));
   }
   return complete;
 }
@@ -155,70 +158,71 @@
   const bool complete = append_dependency_parts(id, record, revision);
   if (record.spec.depends_on.empty() && complete) return;
   dependencies_.add(id, model::dependency_info(record.state, revision), record.spec.depends_on, !complete,
-                    [this](const JobId& need) { return fact(need); });
+                    [this](const JobId& dependency) { return known_dependency_info(dependency); });
 }
 
-// Named jobs that left memory long ago: not knowing is taken neither for done nor for cancelled.
+// Reads the records of dependencies that are no longer in memory: an unknown dependency counts neither as
+// done nor as cancelled.
 void JobIndex::fetch_unknown_dependencies() {
   for (const auto& id : dependencies_.take_unknown())
     key_fetcher_.tell(state::FetchRequest{
         wire::job_key(id), lifetime_.guard([this, id](const std::optional<state::Entry>& entry) {
-          learn_dependency(id, entry);
+          apply_fetched_dependency(id, entry);
         })});
 }
 
-void JobIndex::learn_dependency(const JobId& id, const std::optional<state::Entry>& entry) {
+void JobIndex::apply_fetched_dependency(const JobId& id, const std::optional<state::Entry>& entry) {
   if (entry) {
-    learn_if_final(id, *entry);
-    return forget_oldest();
+    apply_record_if_final(id, *entry);
+    return evict_oldest_final_jobs();
   }
   dependencies_.update(id, model::missing_dependency());
   log_->warn("job {}: is waited for and has no record", id.value);
 }
 
-// Invariant 12: memory is bounded; what leaves it is read from the state service.
-void JobIndex::forget_oldest() {
+// Invariant 12: memory is bounded; evicted jobs are read from the state service when needed.
+void JobIndex::evict_oldest_final_jobs() {
   while (final_order_.size() > final_jobs_kept_) {
     jobs_.erase(final_order_.front());
     final_order_.pop_front();
   }
 }
 
-void JobIndex::look_up(const JobId& id, LookupDone done) {
-  // Final states never change. Anything else, "never heard of it" included, needs a read barrier (invariant
-  // 9).
+void JobIndex::look_up(const JobId& id, LookupCallback done) {
+  // Final states never change. Any other result, an unknown job included, needs a read barrier (invariant 9).
   const auto* known = find(id);
-  if (known != nullptr && is_over(id, *known)) return done({LookupStatus::found, known});
+  if (known != nullptr && has_ended(id, *known)) return done({LookupStatus::found, known});
   store_.tell(state::ReadBarrier{lifetime_.guard([this, id, done = std::move(done)](bool synced) mutable {
     if (!synced) return done({LookupStatus::unavailable});
-    // On the next turn, when the changes that the barrier published have been taken in.
+    // Continues in the next turn of the event loop, when the changes that the barrier published are applied.
     loop_.post(lifetime_.guard([this, id, done = std::move(done)] { finish_look_up(id, done); }));
   })});
 }
 
-void JobIndex::finish_look_up(const JobId& id, const LookupDone& done) {
+void JobIndex::finish_look_up(const JobId& id, const LookupCallback& done) {
   const auto* job = find(id);
   if (job == nullptr) {
     if (!store_.has(wire::job_key(id))) return done({LookupStatus::never_accepted});
     return fetch(id, done);
   }
-  // A job that it depends on may have been cancelled long ago: not known is not "no".
+  // A job that it depends on may have been cancelled long ago: as long as that is unknown, so is this job's
+  // state.
   if (dependencies_.may_be_cancelled(id) || job->phase_unknown) return done({LookupStatus::unavailable});
   done({LookupStatus::found, job});
 }
 
-// Reads a job that left memory.
-void JobIndex::fetch(const JobId& id, const LookupDone& done) {
+// Reads a job that was evicted from memory.
+void JobIndex::fetch(const JobId& id, const LookupCallback& done) {
   store_.tell(
       state::FetchKey{wire::job_key(id), lifetime_.guard([this, id, done](const state::KeyResponse& answer) {
                         finish_fetch(id, answer, done);
                       })});
 }
 
-void JobIndex::finish_fetch(const JobId& id, const state::KeyResponse& answer, const LookupDone& done) {
+void JobIndex::finish_fetch(const JobId& id, const state::KeyResponse& answer, const LookupCallback& done) {
   if (answer.status == state::KeyStatus::unknown) return done({LookupStatus::unavailable});
   if (answer.status == state::KeyStatus::missing) return done({LookupStatus::never_accepted});
-  learn_if_final(id, *answer.entry);
+  apply_record_if_final(id, *answer.entry);
   const auto* job = find(id);
   if (job == nullptr || job->phase_unknown) return done({LookupStatus::unavailable});
   done({LookupStatus::found, job});
--- a/src/gateway/job_status.cpp
+++ b/src/gateway/job_status.cpp
@@ -13,30 +13,34 @@
 using wire::Json;
 
 namespace {
-constexpr std::size_t kNamedDependencies = 20;      // that an answer lists
-constexpr std::size_t kExplainedDependencies = 16;  // of them, looked at for why they are not done yet
-constexpr int kMaxPipelineSteps = 64;               // from a job to the one that its pipeline stands at
+// At most this many unmet dependencies are listed in a status.
+constexpr std::size_t kMaxListedDependencies = 20;
+// Of the listed dependencies, at most this many are searched for a reason why they are not done.
+constexpr std::size_t kMaxExplainedDependencies = 16;
+// Maximum number of dependency edges followed from a job to the job that blocks its pipeline.
+constexpr int kMaxPipelineSteps = 64;
 
-Json counted(const JobId& id, const char* phase, std::uint32_t done, std::uint32_t running) {
+Json status_with_counts(const JobId& id, const char* phase, std::uint32_t done, std::uint32_t running) {
   return Json{{"uid", id.value}, {"phase", phase}, {"done", done}, {"running", running}};
 }
 
-// The job where the pipeline above `id` stands: it depends on nothing that is not done.
+// Returns the job that blocks the pipeline upstream of `id`: one that has no unmet dependencies itself.
 JobId blocking_job(const JobIndex& jobs, JobId id) {
   const auto& dependencies = jobs.dependencies();
   for (int step = 0; step < kMaxPipelineSteps && !dependencies.is_ready(id); ++step) {
     std::size_t count = 0;
-    const auto open = dependencies.unmet_dependencies(id, 1, count);
-    if (open.empty()) break;
-    id = open.front();
+    const auto unmet = dependencies.unmet_dependencies(id, 1, count);
+    if (unmet.empty()) break;
+    id = unmet.front();
   }
   return id;
 }
 
-// Why the first of these that has a reason is not done; empty: none has.
-std::string blocking_reason(const JobIndex& jobs, const std::vector<JobId>& open) {
-  for (std::size_t i = 0; i < std::min(open.size(), kExplainedDependencies); ++i) {
-    const auto id = blocking_job(jobs, open[i]);
+// Returns why the first of the unmet dependencies with a known reason is not done; empty if no reason is
+// known.
+std::string blocking_reason(const JobIndex& jobs, const std::vector<JobId>& unmet) {
+  for (std::size_t i = 0; i < std::min(unmet.size(), kMaxExplainedDependencies); ++i) {
+    const auto id = blocking_job(jobs, unmet[i]);
     const auto* job = jobs.find(id);
     if (job == nullptr || job->progress.reason.empty()) continue;
     return "; " + id.value + ": " + job->progress.reason;
@@ -44,22 +48,24 @@
   return {};
 }
 
-// What it depends on, and why the job where its pipeline stands is not done.
+// Status of a job with unmet dependencies: lists them, and says why the job that blocks the pipeline is not
+// done.
 Json waiting_status(const JobIndex& jobs, const JobId& id) {
   std::size_t count = 0;
-  const auto open = jobs.dependencies().unmet_dependencies(id, kNamedDependencies, count);
-  auto status = counted(id, "queued", 0, 0);
+  const auto unmet = jobs.dependencies().unmet_dependencies(id, kMaxListedDependencies, count);
+  auto status = status_with_counts(id, "queued", 0, 0);
   status["waits_on"] = Json::array();
-  for (const auto& dependency : open) status["waits_on"].push_back(dependency.value);
-  std::string reason = "waits for " + (open.empty() ? "others" : open.front().value);
+  for (const auto& dependency : unmet) status["waits_on"].push_back(dependency.value);
+  std::string reason = "waits for " + (unmet.empty() ? "others" : unmet.front().value);
   if (count > 1) reason += " and " + std::to_string(count - 1) + " more";
-  status["reason"] = reason + blocking_reason(jobs, open);
+  status["reason"] = reason + blocking_reason(jobs, unmet);
   return status;
 }
 
 Json live_status(const JobId& id, const KnownJob& job) {
   const auto& progress = job.progress;
-  auto status = counted(id, progress.running > 0 ? "running" : "queued", progress.done, progress.running);
+  auto status =
+      status_with_counts(id, progress.running > 0 ? "running" : "queued", progress.done, progress.running);
   if (!progress.reason.empty()) status["reason"] = progress.reason;
   if (job.record_unreadable) status["reason"] = "its record cannot be read, its operators must see to it";
   return status;
@@ -71,9 +77,9 @@
     case JobState::accepted:
       return jobs.dependencies().is_ready(id) ? live_status(id, job) : waiting_status(jobs, id);
     case JobState::done:
-      return counted(id, "done", job.task_count, 0);
+      return status_with_counts(id, "done", job.task_count, 0);
     case JobState::cancelled:
-      return counted(id, "cancelled", 0, 0);
+      return status_with_counts(id, "cancelled", 0, 0);
   }
   return {};
 }
--- a/src/gateway/job_status.hpp
+++ b/src/gateway/job_status.hpp
@@ -1,4 +1,4 @@
-// What users are told of a job that was accepted.
+// The status of an accepted job, as users see it.
 #pragma once
 
 #include "gateway/job_index.hpp"
@@ -6,7 +6,8 @@
 
 namespace bankhill::gateway {
 
-// The phase of `job` as `jobs` knows it, its counts of tasks, and why it is not running.
+// Returns the phase of `job` according to `jobs`, its numbers of done and running tasks and, if known, why it
+// is not running.
 wire::Json job_status(const JobIndex& jobs, const wire::JobId& id, const KnownJob& job);
 
 }  // namespace bankhill::gateway
--- a/src/gateway/rejection.hpp
+++ b/src/gateway/rejection.hpp
@@ -1,4 +1,4 @@
-// Why a job can never be accepted.
+// The reasons why a job can never be accepted.
 #pragma once
 
 #include <string>
@@ -9,20 +9,20 @@
 
 enum class RejectionReason {
   unknown_team,
-  exceeds_team_limit,         // even if the team used nothing else
-  fits_no_machine_type,       // of those that the job allows
-  description_too_long,       // to be stored
-  dependency_is_service,      // which is never done
-  dependency_never_accepted,  // by any controller
+  exceeds_team_limit,         // The job exceeds the team's limit even if the team runs nothing else.
+  fits_no_machine_type,       // A task fits none of the machine types that the job allows.
+  description_too_long,       // The description exceeds what the state service can store.
+  dependency_is_service,      // A dependency is a service, and a service is never done.
+  dependency_never_accepted,  // No controller ever accepted one of the dependencies.
 };
 
 struct Rejection {
   RejectionReason reason = RejectionReason::unknown_team;
-  wire::JobId dependency;  // of the last two reasons
+  wire::JobId dependency;  // The dependency concerned; set for the last two reasons only.
   bool operator==(const Rejection&) const = default;
 };
 
-// As users are told it.
+// Returns the error message for users.
 std::string explain(const Rejection& rejection);
 
 }  // namespace bankhill::gateway
--- a/src/gateway/responses.hpp
+++ b/src/gateway/responses.hpp
@@ -1,4 +1,4 @@
-// The answers to users, one function for each.
+// Builds the HTTP responses of the users' API, one function for each kind of response.
 #pragma once
 
 #include <string>
@@ -10,27 +10,28 @@
 
 namespace bankhill::gateway::responses {
 
-// This controller can serve users.
+// The health check has passed: this controller can serve users.
 net::Response healthy();
-// The job was accepted now, by this request. `cancelled`: and is over at once, with one that it depends on.
+// This request accepted the job. `cancelled`: the job ended at once, because a job that it depends on is
+// cancelled.
 net::Response accepted(const wire::JobId& id, bool cancelled);
-// The job was cancelled now, by this request.
+// This request cancelled the job.
 net::Response cancelled(const wire::JobId& id);
-// What has become of a job that was accepted (see job_status.hpp).
+// The status of an accepted job, as job_status() returns it (see job_status.hpp).
 net::Response status(const wire::Json& job_status);
 
-// The request is not one of this API.
+// The request matches no route of this API.
 net::Response route_error(RouteError error);
-// The body is not a job; `reason` names the field.
+// The body is not a valid job description; `reason` names the invalid field.
 net::Response malformed(const std::string& reason);
 // The job can never be accepted.
 net::Response rejected(const Rejection& rejection);
 // No controller has accepted the job.
 net::Response no_such_job();
 
-// Nobody can serve the request now: again after a second.
+// No controller can serve the request now; asks the user to retry after one second.
 net::Response unavailable();
-// The same, again after this time.
+// As unavailable(), but asks the user to retry after `retry_after_s` seconds.
 net::Response unavailable_for(double retry_after_s);
 
 }  // namespace bankhill::gateway::responses
--- a/src/gateway/route.hpp
+++ b/src/gateway/route.hpp
@@ -1,4 +1,4 @@
-// What a user's request asks for, by its method and path.
+// Maps the method and path of a user's request to an operation of the API.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace bankhill::gateway {
 
-// GET /healthz: whether this controller can serve users.
+// GET /healthz: return whether this controller can serve users.
 struct HealthRoute {
   bool operator==(const HealthRoute&) const = default;
 };
@@ -20,7 +20,7 @@
   bool operator==(const SubmitRoute&) const = default;
 };
 
-// GET /submissions/ID: what has become of a job.
+// GET /submissions/ID: return the status of a job.
 struct StatusRoute {
   wire::JobId job;
   bool operator==(const StatusRoute&) const = default;
@@ -32,12 +32,12 @@
   bool operator==(const CancelRoute&) const = default;
 };
 
-// Why a request leads nowhere.
+// Why a request matches no route.
 enum class RouteError { no_such_path, method_not_allowed, no_such_job };
 
 using Route = std::variant<HealthRoute, SubmitRoute, StatusRoute, CancelRoute, RouteError>;
 
-// `path` may have a query, which is ignored.
+// A query in `path` is ignored.
 Route parse_route(net::Method method, std::string_view path);
 
 }  // namespace bankhill::gateway
--- a/src/heartbeat/balance.cpp
+++ b/src/heartbeat/balance.cpp
@@ -5,36 +5,39 @@
 namespace bankhill::heartbeat {
 
 namespace {
-constexpr double kLeaderPart = 0.5;  // of what it could take as a forwarding controller
-// In parts of the average fill. A worker in another zone is lost with a cut between the zones although it
-// runs on.
-constexpr double kOtherZone = 0.25;
-constexpr double kNewcomerGains = 0.1;
-constexpr double kSettledGains = 0.3;
+// Capacity of a controller as the leader, as a share of its capacity as a forwarding controller.
+constexpr double kLeaderCapacityShare = 0.5;
+// Added to the cost of a controller in another zone, in units of the average load: a partition between the
+// zones would lose the worker although it keeps running.
+constexpr double kOtherZoneCost = 0.25;
+// The least advantage for which a worker is redirected, in units of the average load: for a worker that is
+// new to this controller, and for one that the controller already handles.
+constexpr double kNewWorkerMinGain = 0.1;
+constexpr double kAssignedWorkerMinGain = 0.3;
 }  // namespace
 
-double load_ratio(const ControllerShare& member) {
-  return member.workers / (member.capacity * (member.leader ? kLeaderPart : 1));
+double load_ratio(const ControllerShare& controller) {
+  return controller.workers / (controller.capacity * (controller.is_leader ? kLeaderCapacityShare : 1));
 }
 
-std::size_t choose_controller(const std::vector<ControllerShare>& members, std::size_t self,
-                              const std::string& worker_zone, bool settled) {
+std::size_t choose_controller(const std::vector<ControllerShare>& controllers, std::size_t self,
+                              const std::string& worker_zone, bool is_assigned) {
   double workers = 0;
   double capacity = 0;
-  for (const auto& member : members) {
-    workers += member.workers;
-    capacity += member.capacity * (member.leader ? kLeaderPart : 1);
+  for (const auto& controller : controllers) {
+    workers += controller.workers;
+    capacity += controller.capacity * (controller.is_leader ? kLeaderCapacityShare : 1);
   }
-  // One worker more than there are, so that an empty site has a measure too.
-  const double average = (workers + 1) / capacity;
-  const auto cost = [&](const ControllerShare& member) {
-    return load_ratio(member) / average + (member.zone == worker_zone ? 0 : kOtherZone);
+  // One worker is added, so that the average is not 0 on a site without workers.
+  const double average_load = (workers + 1) / capacity;
+  const auto cost = [&](const ControllerShare& controller) {
+    return load_ratio(controller) / average_load + (controller.zone == worker_zone ? 0 : kOtherZoneCost);
   };
   std::size_t best = self;
-  for (std::size_t i = 0; i < members.size(); ++i)
-    if (cost(members[i]) < cost(members[best])) best = i;
-  const double gain = cost(members[self]) - cost(members[best]);
-  return gain > (settled ? kSettledGains : kNewcomerGains) ? best : self;
+  for (std::size_t i = 0; i < controllers.size(); ++i)
+    if (cost(controllers[i]) < cost(controllers[best])) best = i;
+  const double gain = cost(controllers[self]) - cost(controllers[best]);
+  return gain > (is_assigned ? kAssignedWorkerMinGain : kNewWorkerMinGain) ? best : self;
 }
 
 }  // namespace bankhill::heartbeat
--- a/src/heartbeat/balance.hpp
+++ b/src/heartbeat/balance.hpp
@@ -1,4 +1,4 @@
-// Which controller a worker reports to. Pure: no input, output or clocks.
+// Decides which controller a worker sends its heartbeats to. Pure: no I/O and no clocks.
 #pragma once
 
 #include <cstddef>
@@ -7,23 +7,24 @@
 
 namespace bankhill::heartbeat {
 
-// A controller that can take workers now, as another one knows it.
+// A controller that accepts workers now, as this controller or a peer knows it.
 struct ControllerShare {
   std::string node;
   std::string zone;
-  double workers = 0;   // that heartbeat to it
-  double capacity = 1;  // in workers; above 0
-  bool leader = false;
+  double workers = 0;   // Number of workers that send their heartbeats to it.
+  double capacity = 1;  // Number of workers that it can handle; greater than 0.
+  bool is_leader = false;
 };
 
-// The member (by position) that is to take a worker of `worker_zone`, which heartbeats to `self` now. A
-// worker that is `settled` at `self` stays unless another is emptier by much; a newcomer goes on when another
-// is emptier by a little: what peers tell of themselves is always somewhat old.
-std::size_t choose_controller(const std::vector<ControllerShare>& members, std::size_t self,
-                              const std::string& worker_zone, bool settled);
+// Returns the index of the controller that is to handle a worker of `worker_zone` which now sends its
+// heartbeats to `self`. A worker that is already assigned to `self` moves only to a controller with a much
+// lower load; a new worker moves to one with a slightly lower load. Small differences never count, because
+// the loads that peers announce are always somewhat outdated.
+std::size_t choose_controller(const std::vector<ControllerShare>& controllers, std::size_t self,
+                              const std::string& worker_zone, bool is_assigned);
 
-// How full a member is, 1 at its part of the workers; the leader's part is smaller, since it has all direct
-// orders to send.
-double load_ratio(const ControllerShare& member);
+// Returns the load of a controller relative to its capacity. The capacity of the leader counts for less,
+// since the leader sends all direct commands.
+double load_ratio(const ControllerShare& controller);
 
 }  // namespace bankhill::heartbeat
--- a/src/heartbeat/heartbeat_endpoint.cpp
+++ b/src/heartbeat/heartbeat_endpoint.cpp
@@ -11,35 +11,41 @@
 using wire::Json;
 
 namespace {
-constexpr double kRedirectMemoryIntervals =
-    8;  // heartbeat intervals in which coming back means: could not reach it
-constexpr double kRelayIntervals = 0.8;
-// A worker that has not reported for this many intervals reports elsewhere, or not at all.
-constexpr double kLocalIntervals = 2;
-// A leader that is silent for this many control intervals is not handed reports any more.
-constexpr double kLeaderSilentIntervals = 2;
-// Of the workers here, sent on a control interval at most: a controller that joins gets its part gradually.
-constexpr double kMoveShare = 0.06;
+// A worker that returns within this many heartbeat intervals after a redirect could not reach the other
+// controller.
+constexpr double kRedirectMemoryIntervals = 8;
+// Time limit for a relayed or forwarded heartbeat, in control intervals.
+constexpr double kRelayTimeoutIntervals = 0.8;
+// A worker without a heartbeat here for this many heartbeat intervals sends its heartbeats to another
+// controller, or none at all.
+constexpr double kLocalWorkerTimeoutIntervals = 2;
+// Heartbeats are not forwarded to a leader whose last keep-alive is this many control intervals old.
+constexpr double kPeerTimeoutIntervals = 2;
+// At most this share of the local workers is redirected in a control interval, so that a controller that
+// joins gets its share gradually.
+constexpr double kMaxRedirectShare = 0.06;
+// Minimum time between two batches of the forwarder to the same peer, in control intervals.
 constexpr double kBatchIntervals = 0.006;
-// Relayed alone: by which peer is not told.
+// Stands for the peer that relayed a single heartbeat, since a relayed request does not name it.
 const std::string kUnnamedPeer = "a sibling";
-constexpr double kAnswerShare = 0.7;  // of what a worker waits, at most
-
-heartbeat::HeartbeatForwarder::Timing timing(const HeartbeatSettings& settings) {
-  return {
-      kBatchIntervals * settings.control_interval_s,
-      std::min(kRelayIntervals * settings.control_interval_s, kAnswerShare * net::kWorkerResponseTimeoutS),
-      kRedirectMemoryIntervals * settings.heartbeat_interval_s};
+// A forwarded heartbeat fails after at most this share of the time that a worker waits for a response.
+constexpr double kResponseTimeoutShare = 0.7;
+
+heartbeat::HeartbeatForwarder::Timing forwarder_timing(const HeartbeatSettings& settings) {
+  return {kBatchIntervals * settings.control_interval_s,
+          std::min(kRelayTimeoutIntervals * settings.control_interval_s,
+                   kResponseTimeoutShare * net::kWorkerResponseTimeoutS),
+          kRedirectMemoryIntervals * settings.heartbeat_interval_s};
 }
 
-Response granted(const HeartbeatResponse& response) {
+Response accepted_response(const HeartbeatResponse& response) {
   return {200, Json{{"fence", response.fencing_token.value}, {"orders", to_json(response.commands)}}.dump(),
           std::nullopt};
 }
 
-// The worker tries the next controller a second later.
-Response try_next_controller() { return {421, "{}", std::nullopt}; }
-Response unavailable() { return {503, "{}", 1.0}; }
+// Refuses the heartbeat without naming a controller: the worker tries the next one a second later.
+Response refused_response() { return {421, "{}", std::nullopt}; }
+Response unavailable_response() { return {503, "{}", 1.0}; }
 }  // namespace
 
 HeartbeatEndpoint::HeartbeatEndpoint(runtime::Loop& loop, runtime::Log log, HeartbeatSettings settings,
@@ -48,25 +54,25 @@
       log_(std::move(log)),
       settings_(std::move(settings)),
       ports_(std::move(ports)),
-      forwarder_(loop, loop.random()() >> 1, timing(settings_),
-                 {ports_.peers, [this](wire::Heartbeat heartbeat, std::uint64_t base,
+      forwarder_(loop, loop.random()() >> 1, forwarder_timing(settings_),
+                 {ports_.peers, [this](wire::Heartbeat heartbeat, std::uint64_t base_sequence,
                                        net::HeartbeatReply reply, const std::string& node) {
-                    ports_.take(std::move(heartbeat), base, std::move(reply), net::HeartbeatRoute::forwarded,
-                                node);
+                    ports_.handle_heartbeat(std::move(heartbeat), base_sequence, std::move(reply),
+                                            net::HeartbeatRoute::forwarded, node);
                   }}) {}
 
-void HeartbeatEndpoint::start() { maintain(); }
+void HeartbeatEndpoint::start() { run_maintenance(); }
 
 void HeartbeatEndpoint::on(StoreChanged& message) {
   for (const auto& change : *message.changes) {
     if (change.key != wire::kLeaderKey) continue;
     leader_.clear();
-    redirected_.clear();
+    redirects_.clear();
     if (!change.data) continue;
     try {
       leader_ = wire::parse_leader_record(*change.data).node;
     } catch (const std::exception&) {
-      // The elector tells it; workers go on to the next controller meanwhile.
+      // The elector logs the malformed record. Meanwhile workers move on to the next controller.
     }
   }
 }
@@ -83,157 +89,167 @@
     return message.reply({400, Json{{"error", error.what()}}.dump(), std::nullopt});
   }
   const auto peers = ports_.relay.peers();
-  if (ports_.leading()) {
-    if (!message.relayed && redirected_for_balance(heartbeat, peers, message.reply)) return;
-    return ports_.take(
+  if (ports_.is_leading()) {
+    if (!message.relayed && redirect_for_balance(heartbeat, peers, message.reply)) return;
+    return ports_.handle_heartbeat(
         std::move(heartbeat), 0,
         [reply = std::move(message.reply)](const HeartbeatResponse& response) {
-          reply(response.result == HeartbeatResult::accepted ? granted(response) : unavailable());
+          reply(response.result == HeartbeatResult::accepted ? accepted_response(response)
+                                                             : unavailable_response());
         },
         message.relayed ? net::HeartbeatRoute::relayed : net::HeartbeatRoute::direct,
         message.relayed ? kUnnamedPeer : "");
   }
-  // No right to act for the controllers: never 200 on our own word (invariant 18).
-  if (!message.relayed && isolated(peers))
+  // This controller does not lead and has no right to accept a heartbeat: it never answers 200 without the
+  // leader's response (invariant 18).
+  if (!message.relayed && is_isolated(peers))
     return redirect_to_peer(heartbeat.machine_id, peers, message.reply);
-  if (message.relayed || leader_.empty() || leader_ == settings_.node) return message.reply(unavailable());
-  if (!forwarding(peers)) return redirect_to_leader(heartbeat.machine_id, message);
-  if (redirected_for_balance(heartbeat, peers, message.reply)) return;
+  if (message.relayed || leader_.empty() || leader_ == settings_.node)
+    return message.reply(unavailable_response());
+  if (!is_forwarding(peers)) return redirect_to_leader(heartbeat.machine_id, message);
+  if (redirect_for_balance(heartbeat, peers, message.reply)) return;
   const auto machine_id = heartbeat.machine_id;
   forwarder_.tell(heartbeat::ForwardHeartbeat{
       leader_, std::move(heartbeat),
       guard([this, machine_id, reply = std::move(message.reply)](const HeartbeatResponse& response) {
-        if (response.result == HeartbeatResult::accepted) return reply(granted(response));
+        if (response.result == HeartbeatResult::accepted) return reply(accepted_response(response));
         local_workers_.erase(machine_id);
-        reply(try_next_controller());
+        reply(refused_response());
       })});
 }
 
-// Workers are spread only while all peers that are there understand it: one that does not sends every
-// worker to the leader, and would undo it.
-bool HeartbeatEndpoint::balancing(const Peers& peers) const {
+// Workers are balanced only while all reachable peers support forwarding: a peer that does not would redirect
+// every worker to the leader and so undo the balancing.
+bool HeartbeatEndpoint::is_balancing(const Peers& peers) const {
   return settings_.forwards_heartbeats && std::all_of(peers.begin(), peers.end(), [](const auto& peer) {
            return !peer.fresh || peer.forwards_heartbeats;
          });
 }
 
-bool HeartbeatEndpoint::forwarding(const Peers& peers) const {
-  if (leader_.empty() || leader_ == settings_.node || !balancing(peers)) return false;
+bool HeartbeatEndpoint::is_forwarding(const Peers& peers) const {
+  if (leader_.empty() || leader_ == settings_.node || !is_balancing(peers)) return false;
   for (const auto& peer : peers)
     if (peer.node == leader_)
       return peer.forwards_heartbeats &&
-             peer.silence_s < kLeaderSilentIntervals * settings_.control_interval_s;
+             peer.silence_s < kPeerTimeoutIntervals * settings_.control_interval_s;
   return false;
 }
 
-bool HeartbeatEndpoint::isolated(const Peers& peers) const {
+bool HeartbeatEndpoint::is_isolated(const Peers& peers) const {
   return !peers.empty() &&
          std::none_of(peers.begin(), peers.end(), [](const auto& peer) { return peer.fresh; });
 }
 
-// No response can come here (invariant 28). The worker is refused at once, and by name: it goes on without
-// the second that a refusal without one costs. To one of those heard until the cut, not all to the same.
+// No response of the leader can arrive while this controller is isolated (invariant 28). The worker is
+// redirected at once to a named peer, because a refusal that names none costs the worker a second before it
+// tries the next controller. The peer is drawn at random from those whose keep-alives arrived until the
+// connection loss, so that not all workers go to the same peer.
 void HeartbeatEndpoint::redirect_to_peer(const wire::MachineId& machine_id, const Peers& peers,
                                          const net::Reply& reply) {
   const double now = loop().now();
   local_workers_.erase(machine_id);
-  const auto sent = redirected_.find(machine_id);
-  double last = peers.front().silence_s;
-  for (const auto& peer : peers) last = std::min(last, peer.silence_s);
-  std::vector<std::string> there;
+  const auto redirect = redirects_.find(machine_id);
+  double min_keep_alive_age_s = peers.front().silence_s;
+  for (const auto& peer : peers) min_keep_alive_age_s = std::min(min_keep_alive_age_s, peer.silence_s);
+  std::vector<std::string> candidates;
   for (const auto& peer : peers)
-    if (peer.silence_s < last + kLeaderSilentIntervals * settings_.control_interval_s &&
-        (sent == redirected_.end() || sent->second.controller != peer.node))
-      there.push_back(peer.node);
-  if (there.empty()) return reply(try_next_controller());
-  const auto& node = there[loop().random()() % there.size()];
-  redirected_[machine_id] = {node, now};
+    if (peer.silence_s < min_keep_alive_age_s + kPeerTimeoutIntervals * settings_.control_interval_s &&
+        (redirect == redirects_.end() || redirect->second.controller != peer.node))
+      candidates.push_back(peer.node);
+  if (candidates.empty()) return reply(refused_response());
+  const auto& node = candidates[loop().random()() % candidates.size()];
+  redirects_[machine_id] = {node, now};
   reply({421, Json{{"controller", node}}.dump(), std::nullopt});
 }
 
 wire::ControllerLoad HeartbeatEndpoint::load() const {
   const auto peers = ports_.relay.peers();
-  const bool takes = ports_.leading() ? balancing(peers) : forwarding(peers);
+  const bool accepts_workers = ports_.is_leading() ? is_balancing(peers) : is_forwarding(peers);
   return {static_cast<std::uint32_t>(local_workers_.size()),
-          takes ? static_cast<std::uint32_t>(settings_.capacity) : 0, settings_.zone};
+          accepts_workers ? static_cast<std::uint32_t>(settings_.capacity) : 0, settings_.zone};
 }
 
-// Names the controller that is to take this worker, if it is not this one.
-bool HeartbeatEndpoint::redirected_for_balance(const wire::Heartbeat& heartbeat, const Peers& peers,
-                                               const net::Reply& reply) {
+// Redirects the worker if another controller is to handle it. Returns whether it did; if not, the worker
+// counts as local.
+bool HeartbeatEndpoint::redirect_for_balance(const wire::Heartbeat& heartbeat, const Peers& peers,
+                                             const net::Reply& reply) {
   const double now = loop().now();
-  const bool settled = local_workers_.contains(heartbeat.machine_id);
-  if (!balancing(peers)) {
+  const bool is_local = local_workers_.contains(heartbeat.machine_id);
+  if (!is_balancing(peers)) {
     local_workers_[heartbeat.machine_id] = now;
     return false;
   }
-  std::vector<heartbeat::ControllerShare> members{{settings_.node, settings_.zone,
-                                                   static_cast<double>(local_workers_.size()),
-                                                   settings_.capacity, ports_.leading()}};
+  std::vector<heartbeat::ControllerShare> controllers{{settings_.node, settings_.zone,
+                                                       static_cast<double>(local_workers_.size()),
+                                                       settings_.capacity, ports_.is_leading()}};
   for (const auto& peer : peers)
     if (peer.fresh && peer.load.capacity > 0)
-      members.push_back({peer.node, peer.load.zone, peer.load.workers + redirected_count_[peer.node],
-                         static_cast<double>(peer.load.capacity), peer.node == leader_});
-  const auto target = heartbeat::choose_controller(members, 0, heartbeat.zone, settled);
-  // One that comes back could not reach the other.
-  const auto sent = redirected_.find(heartbeat.machine_id);
-  const bool came_back = sent != redirected_.end() &&
-                         now - sent->second.at < kRedirectMemoryIntervals * settings_.heartbeat_interval_s;
-  if (target == 0 || (settled && moves_left_ < 1) || (!settled && came_back)) {
+      controllers.push_back({peer.node, peer.load.zone, peer.load.workers + redirects_by_peer_[peer.node],
+                             static_cast<double>(peer.load.capacity), peer.node == leader_});
+  const auto target = heartbeat::choose_controller(controllers, 0, heartbeat.zone, is_local);
+  // A worker that returns shortly after a redirect could not reach the other controller.
+  const auto redirect = redirects_.find(heartbeat.machine_id);
+  const bool returned_after_redirect =
+      redirect != redirects_.end() &&
+      now - redirect->second.redirected_at < kRedirectMemoryIntervals * settings_.heartbeat_interval_s;
+  if (target == 0 || (is_local && local_redirects_left_ < 1) || (!is_local && returned_after_redirect)) {
     local_workers_[heartbeat.machine_id] = now;
     return false;
   }
-  if (settled) moves_left_ -= 1;
-  const auto& node = members[target].node;
-  redirected_[heartbeat.machine_id] = {node, now};
+  if (is_local) local_redirects_left_ -= 1;
+  const auto& node = controllers[target].node;
+  redirects_[heartbeat.machine_id] = {node, now};
   local_workers_.erase(heartbeat.machine_id);
-  redirected_count_[node] += 1;
+  redirects_by_peer_[node] += 1;
   reply({421, Json{{"controller", node}}.dump(), std::nullopt});
   return true;
 }
 
-void HeartbeatEndpoint::maintain() {
-  maintain_timer_ = loop().after(settings_.control_interval_s / 2, guard([this] { maintain(); }));
+void HeartbeatEndpoint::run_maintenance() {
+  maintenance_timer_ = loop().after(settings_.control_interval_s / 2, guard([this] { run_maintenance(); }));
   const double now = loop().now();
   std::erase_if(local_workers_, [&](const auto& entry) {
-    return now - entry.second > kLocalIntervals * settings_.heartbeat_interval_s;
+    return now - entry.second > kLocalWorkerTimeoutIntervals * settings_.heartbeat_interval_s;
   });
-  std::erase_if(redirected_, [&](const auto& entry) {
-    return now - entry.second.at > kRedirectMemoryIntervals * settings_.heartbeat_interval_s;
+  std::erase_if(redirects_, [&](const auto& entry) {
+    return now - entry.second.redirected_at > kRedirectMemoryIntervals * settings_.heartbeat_interval_s;
   });
-  // By now what they tell includes those.
-  redirected_count_.clear();
-  moves_left_ = std::max(1.0, kMoveShare * static_cast<double>(local_workers_.size()) / 2);
+  // By now the loads that the peers announce include the workers redirected to them.
+  redirects_by_peer_.clear();
+  local_redirects_left_ = std::max(1.0, kMaxRedirectShare * static_cast<double>(local_workers_.size()) / 2);
   const auto peers = ports_.relay.peers();
-  const bool alone = isolated(peers);
-  if (alone != std::exchange(was_isolated_, alone)) {
-    if (alone)
+  const bool now_isolated = is_isolated(peers);
+  if (now_isolated != std::exchange(was_isolated_, now_isolated)) {
+    if (now_isolated)
       log_->warn("workers: no sibling is heard, sending workers on to them");
     else
       log_->info("workers: siblings are heard again");
   }
-  const bool spread = balancing(peers);
-  if (spread != std::exchange(was_balancing_, spread))
-    log_->info(spread ? "workers: spread over all controllers that are there"
-                      : "workers: sent to the leader alone, a sibling does not take part");
+  const bool now_balancing = is_balancing(peers);
+  if (now_balancing != std::exchange(was_balancing_, now_balancing))
+    log_->info(now_balancing ? "workers: spread over all controllers that are there"
+                             : "workers: sent to the leader alone, a sibling does not take part");
 }
 
 void HeartbeatEndpoint::redirect_to_leader(const wire::MachineId& machine_id, HeartbeatRequest& message) {
   const double now = loop().now();
-  auto& sent = redirected_[machine_id];
-  const bool came_back =
-      sent.controller == leader_ && now - sent.at < kRedirectMemoryIntervals * settings_.heartbeat_interval_s;
-  sent = {leader_, now};
-  if (!came_back) return message.reply({421, Json{{"controller", leader_}}.dump(), std::nullopt});
-  // It cannot reach the leader: pass its heartbeat on rather than send it round until its lease ends.
+  auto& redirect = redirects_[machine_id];
+  const bool returned_after_redirect =
+      redirect.controller == leader_ &&
+      now - redirect.redirected_at < kRedirectMemoryIntervals * settings_.heartbeat_interval_s;
+  redirect = {leader_, now};
+  if (!returned_after_redirect)
+    return message.reply({421, Json{{"controller", leader_}}.dump(), std::nullopt});
+  // The worker cannot reach the leader: relay its heartbeat, rather than redirect it again and again until
+  // its lease expires.
   log_->debug("worker {}: came back, passing its report on to {}", machine_id.value, leader_);
-  ports_.relay.tell(
-      net::RelayRequest{leader_, std::move(message.request), kRelayIntervals * settings_.control_interval_s,
-                        guard([this, machine_id, reply = std::move(message.reply)](Response response) {
-                          if (response.status == 200) return reply(std::move(response));
-                          redirected_.erase(machine_id);
-                          reply(try_next_controller());
-                        })});
+  ports_.relay.tell(net::RelayRequest{
+      leader_, std::move(message.request), kRelayTimeoutIntervals * settings_.control_interval_s,
+      guard([this, machine_id, reply = std::move(message.reply)](Response response) {
+        if (response.status == 200) return reply(std::move(response));
+        redirects_.erase(machine_id);
+        reply(refused_response());
+      })});
 }
 
 }  // namespace bankhill::heartbeat
--- a/src/heartbeat/heartbeat_forwarder.hpp
+++ b/src/heartbeat/heartbeat_forwarder.hpp
@@ -1,5 +1,5 @@
-// Carries heartbeats of workers to the leader and its responses back, in batches. docs/DELEGATES.md weighs
-// the ways; invariants 18 and 19 in docs/SAFETY.md.
+// Forwards heartbeats of workers to the leader and returns the leader's responses, both in batches.
+// docs/DELEGATES.md compares this with the alternatives; see also invariants 18 and 19 in docs/SAFETY.md.
 #pragma once
 
 #include <deque>
@@ -13,75 +13,92 @@
 
 namespace bankhill::heartbeat {
 
-// Messages.
-struct ForwardHeartbeat {  // to the leader `node`; refused when no response came in time
+// Messages to the heartbeat forwarder.
+
+// Asks to forward a heartbeat to the leader `node`. The reply is a rejection if no response arrives in time.
+struct ForwardHeartbeat {
   std::string node;
   wire::Heartbeat heartbeat;
   net::HeartbeatReply reply;
 };
-struct PeerFrame {  // Reports for the leader here, or Responses for this forwarding controller
+// The peer `node` has sent heartbeats for the leader of this controller, or the leader's responses to
+// heartbeats that this controller forwarded.
+struct PeerFrame {
   std::string node;
   wire::Frame frame;
 };
 
+// The actor that owns the unanswered exchanges and the outgoing batches. Used by HeartbeatEndpoint.
 class HeartbeatForwarder : public runtime::Actor<HeartbeatForwarder, ForwardHeartbeat, PeerFrame> {
  public:
   struct Ports {
     net::PeerTransport& peers;
-    // To the leader of this controller; `base` is not 0 for a brief heartbeat, `node` is the forwarding
-    // controller.
-    std::function<void(wire::Heartbeat, std::uint64_t base, net::HeartbeatReply, const std::string& node)>
-        take;
+    // Passes a heartbeat to the leader actor of this controller. `base_sequence` is 0 for a full heartbeat;
+    // for a brief one it is the sequence number of the full heartbeat that completes it. `node` is the
+    // forwarding controller.
+    std::function<void(wire::Heartbeat, std::uint64_t base_sequence, net::HeartbeatReply,
+                       const std::string& node)>
+        handle_heartbeat;
   };
   struct Timing {
-    double batch_s = 0;     // reports and responses wait this long for others
-    double response_s = 0;  // without a response for this long a heartbeat counts as refused
-    double forget_s = 0;    // a worker not heard for this long is forgotten
+    // Minimum time between two batches to the same peer, in seconds.
+    double batch_interval_s = 0;
+    // A heartbeat counts as rejected when it has no response after this many seconds.
+    double response_timeout_s = 0;
+    // The base of a worker is dropped when the leader accepted no heartbeat of it for this many seconds.
+    double base_retention_s = 0;
   };
 
-  // `first_id`: where the exchanges' ids begin, another for each process, so that a response for an earlier
-  // process of this controller finds nothing.
+  // `first_id` is the id of the first exchange. It must differ between processes, so that a response to an
+  // earlier process of this controller matches no exchange.
   HeartbeatForwarder(runtime::Loop& loop, std::uint64_t first_id, Timing timing, Ports ports);
 
   void on(ForwardHeartbeat& message);
   void on(PeerFrame& message);
 
  private:
-  struct LeaderKnowledge {  // what the leader knows of a worker from us
+  // The last full heartbeat of a worker that this controller forwarded and the leader accepted.
+  struct AcceptedBase {
     std::string fingerprint;
-    std::uint64_t sequence = 0;  // of the heartbeat that told it
-    double heard = 0;
+    std::uint64_t sequence = 0;
+    double last_accepted_at = 0;  // Time of the last accepted heartbeat, full or brief, on the steady clock.
   };
+  // A forwarded heartbeat without a final response yet.
   struct Exchange {
     std::string node;
     wire::Heartbeat heartbeat;
     std::string fingerprint;
     net::HeartbeatReply reply;
   };
-  struct Outbox {  // to one peer
+  // The next batches of heartbeats and responses to one peer.
+  struct Outbox {
     wire::ForwardedHeartbeats heartbeats;
     wire::HeartbeatResponses responses;
-    std::size_t task_count = 0;  // tasks and orders in them: a measure of their size
-    double last = -1e9;          // flushed
-    runtime::Timer timer;        // empty: no flush is to come
+    // Number of tasks and commands in the batches, as a measure of their size.
+    std::size_t task_and_command_count = 0;
+    // Time of the last flush on the steady clock.
+    double last_flush_at = -1e9;
+    // Timer of the next flush; empty if none is scheduled.
+    runtime::Timer timer;
   };
 
-  void send(std::uint64_t id, Exchange& exchange, bool brief);
-  void schedule(const std::string& node);
-  void flush(const std::string& node);
-  void complete(wire::HeartbeatResponse& response);
-  void reject(std::uint64_t id);
-  void expire();
+  void send_heartbeat(std::uint64_t id, Exchange& exchange, bool is_brief);
+  void schedule_flush(const std::string& node);
+  void flush_outbox(const std::string& node);
+  void handle_response(wire::HeartbeatResponse& response);
+  void reject_exchange(std::uint64_t id);
+  void expire_exchanges();
 
   Timing timing_;
   Ports ports_;
   std::uint64_t next_id_;
-  std::map<wire::MachineId, LeaderKnowledge> known_;
+  std::map<wire::MachineId, AcceptedBase> accepted_bases_;
   std::map<std::uint64_t, Exchange> exchanges_;
-  std::deque<std::pair<double, std::uint64_t>> deadlines_;  // rising
+  // Deadlines of the exchanges with their ids, in ascending order.
+  std::deque<std::pair<double, std::uint64_t>> deadlines_;
   std::map<std::string, Outbox> outboxes_;
-  runtime::Timer expiry_;
-  double next_forget_ = 0;
+  runtime::Timer expiry_timer_;
+  double next_cleanup_at_ = 0;
 };
 
 }  // namespace bankhill::heartbeat
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,4 +1,4 @@
-// Admission: what can never run is refused, and nothing else.
+// The admission check rejects jobs that can never run, and accepts all others.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -8,7 +8,7 @@
 namespace bankhill::gateway {
 namespace {
 
-TEST(Admission, Reasons) {
+TEST(Admission, RejectsJobsThatCanNeverRun) {
   wire::MachineType machine_type;
   machine_type.name = "m";
   machine_type.capacity = {8, 0, 32};
@@ -23,8 +23,8 @@
   other.kind = wire::JobKind::service;
   EXPECT_EQ(find_rejection_reason(other, teams, {machine_type}), RejectionReason::exceeds_team_limit)
       << "a service needs room for all";
-  const std::vector<TeamLimit> guests = {{"red", {std::numeric_limits<double>::infinity(), 0, 0}}};
-  EXPECT_FALSE(find_rejection_reason(other, guests, {machine_type})) << "a team without a limit";
+  const std::vector<TeamLimit> unlimited_teams = {{"red", {std::numeric_limits<double>::infinity(), 0, 0}}};
+  EXPECT_FALSE(find_rejection_reason(other, unlimited_teams, {machine_type})) << "a team without a limit";
   other = spec;
   other.team = "blue";
   EXPECT_EQ(find_rejection_reason(other, teams, {machine_type}), RejectionReason::unknown_team);
--- a/tests/job_index_test.cpp
+++ b/tests/job_index_test.cpp
@@ -1,4 +1,5 @@
-// What a controller knows of jobs, from changes in the state service and from look-ups, without a cluster.
+// The job index of a controller, fed with changes of a fake state service and with look-ups, without a
+// cluster.
 #include "gateway/job_index.hpp"
 
 #include <gtest/gtest.h>
@@ -19,12 +20,12 @@
 using wire::KeyRevision;
 
 constexpr std::size_t kFinalJobsKept = 2;
-constexpr double kSettledS = 0.5;  // any look-up has been answered by then
+constexpr double kLookUpLimitS = 0.5;  // Every look-up is answered within this time.
 
 JobId job_id(int number) { return JobId{"job-" + std::to_string(number)}; }
 
-wire::JobRecord record_of(const JobId& id, JobState phase = JobState::accepted,
-                          std::vector<JobId> depends_on = {}) {
+wire::JobRecord make_record(const JobId& id, JobState phase = JobState::accepted,
+                            std::vector<JobId> depends_on = {}) {
   wire::JobRecord record;
   record.spec.id = id;
   record.spec.job_class = "any";
@@ -37,8 +38,8 @@
   return record;
 }
 
-// Keeps keys as the state service does. Watches that block are never answered: what is new comes with the
-// read barriers.
+// Stores keys with revisions as the state service does. Blocking watch requests are never answered: the index
+// receives changes through read barriers only.
 class FakeStateService final : public net::Client {
  public:
   explicit FakeStateService(runtime::Loop& loop) : loop_(loop) {}
@@ -47,11 +48,11 @@
   void put(const wire::JobRecord& record) { put(wire::job_key(record.spec.id), to_json(record)); }
 
   void send(const std::string&, net::Request request, double, net::Reply reply) override {
-    if (request.path.starts_with("/keys?")) return answer(reply, 200, all_keys());
-    if (request.path.starts_with("/keys/")) return answer_key(request.path.substr(6), reply);
+    if (request.path.starts_with("/keys?")) return respond(reply, 200, all_keys());
+    if (request.path.starts_with("/keys/")) return respond_with_key(request.path.substr(6), reply);
     if (!request.path.ends_with("block_ms=0")) return;
     ++barriers;
-    answer(reply, reachable ? 200 : 503, Json{{"epoch", revision_}, {"news", news_after(request.path)}});
+    respond(reply, reachable ? 200 : 503, Json{{"epoch", revision_}, {"news", changes_after(request.path)}});
   }
 
   bool reachable = true;
@@ -65,21 +66,21 @@
       items.push_back({{"k", key}, {"data", entry.data}, {"stamp", entry.revision.value}});
     return {{"items", items}, {"has_next", false}, {"epoch", revision_}};
   }
-  Json news_after(const std::string& path) const {
+  Json changes_after(const std::string& path) const {
     const auto after = std::stoull(path.substr(path.find("&after=") + 7));
-    Json news = Json::array();
+    Json changes = Json::array();
     for (const auto& [key, entry] : entries_)
       if (entry.revision.value > after)
-        news.push_back({{"write", key}, {"data", entry.data}, {"stamp", entry.revision.value}});
-    return news;
+        changes.push_back({{"write", key}, {"data", entry.data}, {"stamp", entry.revision.value}});
+    return changes;
   }
-  void answer_key(const std::string& key, const net::Reply& reply) {
+  void respond_with_key(const std::string& key, const net::Reply& reply) {
     ++fetches;
     const auto found = entries_.find(key);
-    if (found == entries_.end()) return answer(reply, 404, Json::object());
-    answer(reply, 200, Json{{"data", found->second.data}, {"stamp", found->second.revision.value}});
+    if (found == entries_.end()) return respond(reply, 404, Json::object());
+    respond(reply, 200, Json{{"data", found->second.data}, {"stamp", found->second.revision.value}});
   }
-  void answer(const net::Reply& reply, int status, const Json& body) {
+  void respond(const net::Reply& reply, int status, const Json& body) {
     loop_.post([reply, status, text = body.dump()] { reply({status, text, std::nullopt}); });
   }
 
@@ -96,19 +97,19 @@
 
   void start() {
     store_.start();
-    loop_.pass(kSettledS);
+    loop_.pass(kLookUpLimitS);
   }
-  // What a look-up says, with a copy of the job.
+  // Runs a look-up to its end and returns its status, with a copy of the job if it was found.
   std::pair<LookupStatus, std::optional<KnownJob>> look_up(const JobId& id) {
     std::pair<LookupStatus, std::optional<KnownJob>> result{LookupStatus::unavailable, std::nullopt};
-    int answers = 0;
+    int callback_count = 0;
     index_.look_up(id, [&](JobLookup lookup) {
-      ++answers;
+      ++callback_count;
       result.first = lookup.status;
       if (lookup.job != nullptr) result.second = *lookup.job;
     });
-    loop_.pass(kSettledS);
-    EXPECT_EQ(answers, 1);
+    loop_.pass(kLookUpLimitS);
+    EXPECT_EQ(callback_count, 1);
     return result;
   }
 
@@ -121,51 +122,51 @@
                   [this](const JobId& id) { first_seen_.push_back(id); }};
 };
 
-TEST_F(JobIndexTest, KeepsTheRecordOfALiveJobAndReportsItsFirstSightOnce) {
-  service_.put(record_of(job_id(1)));
+TEST_F(JobIndexTest, KeepsTheRecordOfALiveJobAndCallsBackOnceWhenFirstRead) {
+  service_.put(make_record(job_id(1)));
   start();
   const auto* job = index_.find(job_id(1));
   ASSERT_NE(job, nullptr);
   EXPECT_EQ(job->state, JobState::accepted);
   EXPECT_EQ(job->task_count, 4U);
   EXPECT_TRUE(job->record.has_value());
-  EXPECT_FALSE(index_.is_over(job_id(1), *job));
-  EXPECT_TRUE(index_.surely_accepted(job_id(1)));
-  EXPECT_FALSE(index_.surely_accepted(job_id(2)));
+  EXPECT_FALSE(index_.has_ended(job_id(1), *job));
+  EXPECT_TRUE(index_.is_known_accepted(job_id(1)));
+  EXPECT_FALSE(index_.is_known_accepted(job_id(2)));
 
-  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobState::done)), KeyRevision{9}}});
+  index_.apply({{wire::job_key(job_id(1)), to_json(make_record(job_id(1), JobState::done)), KeyRevision{9}}});
   EXPECT_EQ(first_seen_, std::vector<JobId>{job_id(1)});
 }
 
-TEST_F(JobIndexTest, ChangesThatAreNotNewerChangeNothing) {
+TEST_F(JobIndexTest, IgnoresChangesOfTheSameOrAnOlderRevision) {
   const auto key = wire::job_key(job_id(1));
-  index_.apply({{key, to_json(record_of(job_id(1), JobState::done)), KeyRevision{5}}});
-  index_.apply({{key, to_json(record_of(job_id(1))), KeyRevision{4}}});
-  index_.apply({{key, to_json(record_of(job_id(1))), KeyRevision{5}}});
+  index_.apply({{key, to_json(make_record(job_id(1), JobState::done)), KeyRevision{5}}});
+  index_.apply({{key, to_json(make_record(job_id(1))), KeyRevision{4}}});
+  index_.apply({{key, to_json(make_record(job_id(1))), KeyRevision{5}}});
   EXPECT_EQ(index_.find(job_id(1))->state, JobState::done);
   EXPECT_EQ(index_.find(job_id(1))->revision, KeyRevision{5});
 }
 
-TEST_F(JobIndexTest, AJobThatIsOverLosesItsRecordAndProgress) {
+TEST_F(JobIndexTest, DropsRecordAndProgressOfAJobThatHasEnded) {
   const auto key = wire::job_key(job_id(1));
-  index_.apply({{key, to_json(record_of(job_id(1))), KeyRevision{5}}});
+  index_.apply({{key, to_json(make_record(job_id(1))), KeyRevision{5}}});
   wire::JobProgress progress;
   progress.job = job_id(1).value;
   progress.running = 3;
   index_.update_progress(progress);
   EXPECT_EQ(index_.find(job_id(1))->progress.running, 3U);
 
-  index_.apply({{key, to_json(record_of(job_id(1), JobState::cancelled)), KeyRevision{6}}});
+  index_.apply({{key, to_json(make_record(job_id(1), JobState::cancelled)), KeyRevision{6}}});
   index_.update_progress(progress);
   const auto* job = index_.find(job_id(1));
   EXPECT_FALSE(job->record.has_value());
   EXPECT_EQ(job->progress.running, 0U) << "late progress of a job that is over";
   EXPECT_TRUE(index_.is_cancelled(job_id(1)));
-  EXPECT_TRUE(index_.is_over(job_id(1), *job));
+  EXPECT_TRUE(index_.has_ended(job_id(1), *job));
 }
 
-TEST_F(JobIndexTest, TheOldestFinalJobsLeaveMemoryAndAreReadAgain) {
-  for (int number = 1; number <= 4; ++number) service_.put(record_of(job_id(number), JobState::done));
+TEST_F(JobIndexTest, EvictsTheOldestFinalJobsAndReadsThemAgain) {
+  for (int number = 1; number <= 4; ++number) service_.put(make_record(job_id(number), JobState::done));
   start();
   EXPECT_EQ(index_.find(job_id(1)), nullptr);
   EXPECT_EQ(index_.find(job_id(2)), nullptr);
@@ -178,14 +179,14 @@
   EXPECT_EQ(service_.fetches, 1);
 }
 
-TEST_F(JobIndexTest, LiveJobsNeverLeaveMemory) {
-  for (int number = 1; number <= 9; ++number) service_.put(record_of(job_id(number)));
+TEST_F(JobIndexTest, NeverEvictsLiveJobs) {
+  for (int number = 1; number <= 9; ++number) service_.put(make_record(job_id(number)));
   start();
   for (int number = 1; number <= 9; ++number) EXPECT_NE(index_.find(job_id(number)), nullptr);
 }
 
 TEST_F(JobIndexTest, LookUpOfAFinalJobNeedsNoReadBarrier) {
-  service_.put(record_of(job_id(1), JobState::done));
+  service_.put(make_record(job_id(1), JobState::done));
   start();
   const int before = service_.barriers;
   bool answered_at_once = false;
@@ -195,11 +196,11 @@
   EXPECT_EQ(service_.barriers, before);
 }
 
-TEST_F(JobIndexTest, LookUpOfALiveOrUnknownJobTakesInWhatWasCommittedBefore) {
-  service_.put(record_of(job_id(1)));
+TEST_F(JobIndexTest, LookUpOfALiveOrUnknownJobSeesWhatWasCommittedBefore) {
+  service_.put(make_record(job_id(1)));
   start();
-  service_.put(record_of(job_id(1), JobState::done));
-  service_.put(record_of(job_id(2)));
+  service_.put(make_record(job_id(1), JobState::done));
+  service_.put(make_record(job_id(2)));
   const int before = service_.barriers;
   EXPECT_EQ(look_up(job_id(1)).second->state, JobState::done);
   EXPECT_EQ(service_.barriers, before + 1);
@@ -208,8 +209,8 @@
   EXPECT_EQ(service_.fetches, 0) << "a key that the barrier does not show is not asked for";
 }
 
-TEST_F(JobIndexTest, LookUpWithoutTheStateServiceSaysSo) {
-  service_.put(record_of(job_id(1)));
+TEST_F(JobIndexTest, LookUpWithoutTheStateServiceIsUnavailable) {
+  service_.put(make_record(job_id(1)));
   EXPECT_EQ(look_up(job_id(1)).first, LookupStatus::unavailable) << "nothing has been read yet";
   start();
   service_.reachable = false;
@@ -217,8 +218,8 @@
   EXPECT_EQ(look_up(job_id(2)).first, LookupStatus::unavailable);
 }
 
-TEST_F(JobIndexTest, AJobWhoseRecordCannotBeReadStaysKnown) {
-  auto damaged = to_json(record_of(job_id(1)));
+TEST_F(JobIndexTest, KeepsAJobWhoseRecordCannotBeParsed) {
+  auto damaged = to_json(make_record(job_id(1)));
   damaged["spec"].erase("queue");
   service_.put(wire::job_key(job_id(1)), damaged);
   service_.put(wire::job_key(job_id(2)), Json{{"phase", "?"}});
@@ -232,52 +233,52 @@
   EXPECT_TRUE(first_seen_.empty());
 }
 
-TEST_F(JobIndexTest, DependenciesUnderFurtherKeysMayFollowInTheSameChange) {
-  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1))), KeyRevision{1}}});
-  auto record = record_of(job_id(2));
+TEST_F(JobIndexTest, AppliesDependencyPartsThatFollowTheJobInTheSameChanges) {
+  index_.apply({{wire::job_key(job_id(1)), to_json(make_record(job_id(1))), KeyRevision{1}}});
+  auto record = make_record(job_id(2));
   record.dependency_parts = 1;
   index_.apply({{wire::job_key(job_id(2)), to_json(record), KeyRevision{2}},
                 {wire::dependencies_key(job_id(2), 0), Json("1"), KeyRevision{2}}});
   EXPECT_FALSE(index_.dependencies().is_ready(job_id(2)));
-  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobState::done)), KeyRevision{3}}});
+  index_.apply({{wire::job_key(job_id(1)), to_json(make_record(job_id(1), JobState::done)), KeyRevision{3}}});
   EXPECT_TRUE(index_.dependencies().is_ready(job_id(2)));
 }
 
-TEST_F(JobIndexTest, AJobWithAMissingPartOfItsDependenciesIsNeverReleased) {
-  auto record = record_of(job_id(2));
+TEST_F(JobIndexTest, NeverReleasesAJobWithAMissingDependencyPart) {
+  auto record = make_record(job_id(2));
   record.dependency_parts = 2;
   index_.apply({{wire::job_key(job_id(2)), to_json(record), KeyRevision{2}},
                 {wire::dependencies_key(job_id(2), 0), Json("1"), KeyRevision{2}}});
-  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobState::done)), KeyRevision{3}}});
+  index_.apply({{wire::job_key(job_id(1)), to_json(make_record(job_id(1), JobState::done)), KeyRevision{3}}});
   EXPECT_FALSE(index_.dependencies().is_ready(job_id(2)));
 }
 
-TEST_F(JobIndexTest, AJobIsOverWithTheCancelledJobThatItDependsOn) {
-  index_.apply({{wire::job_key(job_id(1)), to_json(record_of(job_id(1))), KeyRevision{1}},
-                {wire::job_key(job_id(2)), to_json(record_of(job_id(2), JobState::accepted, {job_id(1)})),
+TEST_F(JobIndexTest, AJobHasEndedWhenAJobThatItDependsOnIsCancelled) {
+  index_.apply({{wire::job_key(job_id(1)), to_json(make_record(job_id(1))), KeyRevision{1}},
+                {wire::job_key(job_id(2)), to_json(make_record(job_id(2), JobState::accepted, {job_id(1)})),
                  KeyRevision{2}}});
-  EXPECT_FALSE(index_.is_over(job_id(2), *index_.find(job_id(2))));
+  EXPECT_FALSE(index_.has_ended(job_id(2), *index_.find(job_id(2))));
   index_.apply(
-      {{wire::job_key(job_id(1)), to_json(record_of(job_id(1), JobState::cancelled)), KeyRevision{3}}});
-  EXPECT_TRUE(index_.is_over(job_id(2), *index_.find(job_id(2))));
+      {{wire::job_key(job_id(1)), to_json(make_record(job_id(1), JobState::cancelled)), KeyRevision{3}}});
+  EXPECT_TRUE(index_.has_ended(job_id(2), *index_.find(job_id(2))));
   EXPECT_TRUE(index_.is_cancelled(job_id(2)));
 }
 
-TEST_F(JobIndexTest, DependenciesThatLeftMemoryAreReadAndNotGuessed) {
-  service_.put(record_of(job_id(1), JobState::cancelled));
-  for (int number = 2; number <= 4; ++number) service_.put(record_of(job_id(number), JobState::done));
+TEST_F(JobIndexTest, ReadsDependenciesThatWereEvicted) {
+  service_.put(make_record(job_id(1), JobState::cancelled));
+  for (int number = 2; number <= 4; ++number) service_.put(make_record(job_id(number), JobState::done));
   start();
   ASSERT_EQ(index_.find(job_id(1)), nullptr);
-  service_.put(record_of(job_id(5), JobState::accepted, {job_id(1), job_id(2)}));
-  service_.put(record_of(job_id(6), JobState::accepted, {job_id(99)}));
+  service_.put(make_record(job_id(5), JobState::accepted, {job_id(1), job_id(2)}));
+  service_.put(make_record(job_id(6), JobState::accepted, {job_id(99)}));
   EXPECT_EQ(look_up(job_id(5)).first, LookupStatus::unavailable) << "what it depends on is still to be read";
-  loop_.pass(kSettledS);
+  loop_.pass(kLookUpLimitS);
   EXPECT_TRUE(index_.is_cancelled(job_id(5)));
   EXPECT_FALSE(index_.is_cancelled(job_id(6)));
   EXPECT_FALSE(index_.dependencies().is_ready(job_id(6))) << "a dependency that has no record is not done";
 }
 
-TEST_F(JobIndexTest, TheCatalogueIsTakenInAndOneThatCannotBeReadChangesNothing) {
+TEST_F(JobIndexTest, ReadsTheCatalogueAndIgnoresAMalformedOne) {
   wire::MachineType machine_type;
   machine_type.name = "m";
   machine_type.capacity = {8, 0, 32};
@@ -291,15 +292,15 @@
   EXPECT_EQ(index_.machine_types().size(), 1U);
 }
 
-TEST_F(JobIndexTest, AnswersThatComeAfterItsEndAreDropped) {
-  service_.put(record_of(job_id(1)));
+TEST_F(JobIndexTest, DropsResponsesThatArriveAfterItsDestruction) {
+  service_.put(make_record(job_id(1)));
   start();
   bool answered = false;
   {
-    JobIndex other(loop_, log_, store_, kFinalJobsKept, [](const JobId&) {});
-    other.look_up(job_id(1), [&](JobLookup) { answered = true; });
+    JobIndex destroyed_index(loop_, log_, store_, kFinalJobsKept, [](const JobId&) {});
+    destroyed_index.look_up(job_id(1), [&](JobLookup) { answered = true; });
   }
-  loop_.pass(kSettledS);
+  loop_.pass(kLookUpLimitS);
   EXPECT_FALSE(answered);
 }
 
