--- a/src/gateway/job_index.cpp
+++ b/src/gateway/job_index.cpp
@@ -177,7 +177,7 @@
     return evict_oldest_final_jobs();
   }
   dependencies_.update(id, model::missing_dependency());
-  log_->warn("job {}: is waited for and has no record", id.value);
+  log_->warn("job {}: other jobs depend on it, but the state service has no record of it", id.value);
 }
 
 // Invariant 12: memory is bounded; evicted jobs are read from the state service when needed.
--- a/src/heartbeat/heartbeat_endpoint.cpp
+++ b/src/heartbeat/heartbeat_endpoint.cpp
@@ -221,14 +221,17 @@
   const bool now_isolated = is_isolated(peers);
   if (now_isolated != std::exchange(was_isolated_, now_isolated)) {
     if (now_isolated)
-      log_->warn("workers: no sibling is heard, sending workers on to them");
+      log_->warn(
+          "workers: keep-alives of all peer controllers are overdue; redirecting workers to the peers heard "
+          "from last");
     else
-      log_->info("workers: siblings are heard again");
+      log_->info("workers: keep-alives of a peer controller arrive again; no longer isolated");
   }
   const bool now_balancing = is_balancing(peers);
   if (now_balancing != std::exchange(was_balancing_, now_balancing))
-    log_->info(now_balancing ? "workers: spread over all controllers that are there"
-                             : "workers: sent to the leader alone, a sibling does not take part");
+    log_->info(now_balancing ? "workers: balanced across all reachable controllers"
+                             : "workers: redirected to the leader only, because a controller does not take "
+                               "part in heartbeat forwarding");
 }
 
 void HeartbeatEndpoint::redirect_to_leader(const wire::MachineId& machine_id, HeartbeatRequest& message) {
@@ -242,7 +245,8 @@
     return message.reply({421, Json{{"controller", leader_}}.dump(), std::nullopt});
   // The worker cannot reach the leader: relay its heartbeat, rather than redirect it again and again until
   // its lease expires.
-  log_->debug("worker {}: came back, passing its report on to {}", machine_id.value, leader_);
+  log_->debug("worker {}: returned after a redirect to the leader; relaying its heartbeat to {}",
+              machine_id.value, leader_);
   ports_.relay.tell(net::RelayRequest{
       leader_, std::move(message.request), kRelayTimeoutIntervals * settings_.control_interval_s,
       guard([this, machine_id, reply = std::move(message.reply)](Response response) {
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -18,13 +18,14 @@
   spec.team = "red";
   spec.request = {8, 0, 32};
   spec.task_count = 50;
-  EXPECT_FALSE(find_rejection_reason(spec, teams, {machine_type})) << "an array needs room for one task";
+  EXPECT_FALSE(find_rejection_reason(spec, teams, {machine_type}))
+      << "an array needs resources for one task only";
   auto other = spec;
   other.kind = wire::JobKind::service;
   EXPECT_EQ(find_rejection_reason(other, teams, {machine_type}), RejectionReason::exceeds_team_limit)
-      << "a service needs room for all";
+      << "a service needs resources for all its tasks";
   const std::vector<TeamLimit> unlimited_teams = {{"red", {std::numeric_limits<double>::infinity(), 0, 0}}};
-  EXPECT_FALSE(find_rejection_reason(other, unlimited_teams, {machine_type})) << "a team without a limit";
+  EXPECT_FALSE(find_rejection_reason(other, unlimited_teams, {machine_type})) << "the team has no core limit";
   other = spec;
   other.team = "blue";
   EXPECT_EQ(find_rejection_reason(other, teams, {machine_type}), RejectionReason::unknown_team);
--- a/tests/heartbeat_forwarding_test.cpp
+++ b/tests/heartbeat_forwarding_test.cpp
@@ -81,7 +81,7 @@
   EXPECT_EQ(last_forwarded().base_sequence, 0U);
   respond(HeartbeatResult::rejected);
   forward(make_heartbeat("n-1", 2, 3));
-  EXPECT_EQ(last_forwarded().base_sequence, 0U) << "a refused report is known to nobody";
+  EXPECT_EQ(last_forwarded().base_sequence, 0U) << "the leader does not keep a rejected heartbeat";
   respond(HeartbeatResult::accepted);
   forward(make_heartbeat("n-1", 3, 3));
   EXPECT_EQ(last_forwarded().base_sequence, 2U);
@@ -89,10 +89,10 @@
   EXPECT_EQ(last_forwarded().heartbeat.sequence, 3U);
   respond(HeartbeatResult::accepted);
   forward(make_heartbeat("n-1", 4, 3));
-  EXPECT_EQ(last_forwarded().base_sequence, 2U) << "the list of tasks is that of the full report";
+  EXPECT_EQ(last_forwarded().base_sequence, 2U) << "the list of tasks is that of the full heartbeat";
   respond(HeartbeatResult::accepted);
   forward(make_heartbeat("n-1", 5, 4));
-  EXPECT_EQ(last_forwarded().base_sequence, 0U) << "its tasks have changed";
+  EXPECT_EQ(last_forwarded().base_sequence, 0U) << "the tasks of the worker have changed";
   EXPECT_EQ(last_forwarded().heartbeat, make_heartbeat("n-1", 5, 4));
   ASSERT_EQ(responses_received.size(), 4U);
 }
@@ -107,7 +107,7 @@
   EXPECT_EQ(last_forwarded().id, id);
   EXPECT_EQ(last_forwarded().base_sequence, 0U);
   EXPECT_EQ(last_forwarded().heartbeat, make_heartbeat("n-1", 2, 2));
-  EXPECT_EQ(responses_received.size(), 1U) << "the worker waits on";
+  EXPECT_EQ(responses_received.size(), 1U) << "the worker must still be waiting";
   respond(HeartbeatResult::accepted);
   EXPECT_EQ(responses_received.size(), 2U);
 }
@@ -121,7 +121,7 @@
   respond(id, HeartbeatResult::accepted);
   EXPECT_EQ(responses_received.size(), 1U);
   forward(make_heartbeat("n-1", 2, 1));
-  EXPECT_EQ(last_forwarded().base_sequence, 0U) << "whether the leader had it is not known";
+  EXPECT_EQ(last_forwarded().base_sequence, 0U) << "it is unknown whether the leader received the heartbeat";
 }
 
 // A leader that was suspended answers heartbeats from a forwarding controller that has been restarted
@@ -189,7 +189,7 @@
       const std::string zone = random() % 3 == 0 ? "b" : "a";
       std::size_t current = random() % count;
       for (std::size_t hop = 0;; ++hop) {
-        ASSERT_LE(hop, count) << "goes round, seed " << seed;
+        ASSERT_LE(hop, count) << "redirect cycle, seed " << seed;
         const auto next = choose_controller(controllers, current, zone, false);
         if (next == current) break;
         current = next;
@@ -203,7 +203,8 @@
       most = std::max(most, load_ratio(controller));
     }
     EXPECT_LT(most - least, 0.5 * (most + least) / 2) << "seed " << seed;
-    EXPECT_GT(controllers[1].workers, controllers[0].workers) << "the leader has less, seed " << seed;
+    EXPECT_GT(controllers[1].workers, controllers[0].workers)
+        << "the leader must have fewer workers, seed " << seed;
     // Assigned workers stay where they are, until a controller without workers joins.
     for (std::size_t self = 0; self < count; ++self)
       EXPECT_EQ(choose_controller(controllers, self, controllers[self].zone, true), self);
--- a/tests/job_index_test.cpp
+++ b/tests/job_index_test.cpp
@@ -160,7 +160,7 @@
   index_.update_progress(progress);
   const auto* job = index_.find(job_id(1));
   EXPECT_FALSE(job->record.has_value());
-  EXPECT_EQ(job->progress.running, 0U) << "late progress of a job that is over";
+  EXPECT_EQ(job->progress.running, 0U) << "progress that arrives after the job's end must be ignored";
   EXPECT_TRUE(index_.is_cancelled(job_id(1)));
   EXPECT_TRUE(index_.has_ended(job_id(1), *job));
 }
@@ -206,7 +206,7 @@
   EXPECT_EQ(service_.barriers, before + 1);
   EXPECT_EQ(look_up(job_id(2)).first, LookupStatus::found);
   EXPECT_EQ(look_up(job_id(3)).first, LookupStatus::never_accepted);
-  EXPECT_EQ(service_.fetches, 0) << "a key that the barrier does not show is not asked for";
+  EXPECT_EQ(service_.fetches, 0) << "a key that is missing after the barrier is not fetched";
 }
 
 TEST_F(JobIndexTest, LookUpWithoutTheStateServiceIsUnavailable) {
@@ -214,7 +214,7 @@
   EXPECT_EQ(look_up(job_id(1)).first, LookupStatus::unavailable) << "nothing has been read yet";
   start();
   service_.reachable = false;
-  EXPECT_EQ(look_up(job_id(1)).first, LookupStatus::unavailable) << "known, but perhaps no longer so";
+  EXPECT_EQ(look_up(job_id(1)).first, LookupStatus::unavailable) << "the known state may be outdated";
   EXPECT_EQ(look_up(job_id(2)).first, LookupStatus::unavailable);
 }
 
@@ -229,7 +229,7 @@
   EXPECT_TRUE(job->record_unreadable);
   EXPECT_EQ(job->task_count, 4U);
   EXPECT_FALSE(job->record.has_value());
-  EXPECT_EQ(look_up(job_id(2)).first, LookupStatus::unavailable) << "not even its phase can be told";
+  EXPECT_EQ(look_up(job_id(2)).first, LookupStatus::unavailable) << "not even its phase can be parsed";
   EXPECT_TRUE(first_seen_.empty());
 }
 
@@ -271,11 +271,12 @@
   ASSERT_EQ(index_.find(job_id(1)), nullptr);
   service_.put(make_record(job_id(5), JobState::accepted, {job_id(1), job_id(2)}));
   service_.put(make_record(job_id(6), JobState::accepted, {job_id(99)}));
-  EXPECT_EQ(look_up(job_id(5)).first, LookupStatus::unavailable) << "what it depends on is still to be read";
+  EXPECT_EQ(look_up(job_id(5)).first, LookupStatus::unavailable) << "its dependencies have not been read yet";
   loop_.pass(kLookUpLimitS);
   EXPECT_TRUE(index_.is_cancelled(job_id(5)));
   EXPECT_FALSE(index_.is_cancelled(job_id(6)));
-  EXPECT_FALSE(index_.dependencies().is_ready(job_id(6))) << "a dependency that has no record is not done";
+  EXPECT_FALSE(index_.dependencies().is_ready(job_id(6)))
+      << "a dependency without a record does not count as done";
 }
 
 TEST_F(JobIndexTest, ReadsTheCatalogueAndIgnoresAMalformedOne) {
--- a/tests/route_test.cpp
+++ b/tests/route_test.cpp
@@ -32,7 +32,7 @@
   EXPECT_EQ(parse_route(Method::del, "/submissions/job-000412"), not_allowed);
   EXPECT_EQ(parse_route(Method::get, "/submissions/job-000412/withdraw"), not_allowed);
   EXPECT_EQ(parse_route(Method::post, "/submissions/no-job"), not_allowed)
-      << "the method is judged before the id";
+      << "the method is checked before the job id";
 }
 
 TEST(Route, RejectsUnknownPaths) {
