--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,4 +1,4 @@
-// Admission: what can never run is refused, and nothing else.
+// The admission check rejects jobs that can never run, and accepts all others.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -8,7 +8,7 @@
 namespace bankhill::gateway {
 namespace {
 
-TEST(Admission, Reasons) {
+TEST(Admission, RejectsJobsThatCanNeverRun) {
   wire::MachineType machine_type;
   machine_type.name = "m";
   machine_type.capacity = {8, 0, 32};
@@ -18,28 +18,29 @@
   spec.team = "red";
   spec.request = {8, 0, 32};
   spec.task_count = 50;
-  EXPECT_FALSE(refusal(spec, teams, {machine_type})) << "an array needs room for one task";
+  EXPECT_FALSE(find_rejection_reason(spec, teams, {machine_type}))
+      << "an array needs resources for one task only";
   auto other = spec;
   other.kind = wire::JobKind::service;
-  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::exceeds_team_limit)
-      << "a service needs room for all";
-  const std::vector<TeamLimit> guests = {{"red", {std::numeric_limits<double>::infinity(), 0, 0}}};
-  EXPECT_FALSE(refusal(other, guests, {machine_type})) << "a team without a limit";
+  EXPECT_EQ(find_rejection_reason(other, teams, {machine_type}), RejectionReason::exceeds_team_limit)
+      << "a service needs resources for all its tasks";
+  const std::vector<TeamLimit> unlimited_teams = {{"red", {std::numeric_limits<double>::infinity(), 0, 0}}};
+  EXPECT_FALSE(find_rejection_reason(other, unlimited_teams, {machine_type})) << "the team has no core limit";
   other = spec;
   other.team = "blue";
-  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::unknown_team);
+  EXPECT_EQ(find_rejection_reason(other, teams, {machine_type}), RejectionReason::unknown_team);
   other = spec;
   other.request.ram_gb = 33;
-  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::fits_no_machine_type);
+  EXPECT_EQ(find_rejection_reason(other, teams, {machine_type}), RejectionReason::fits_no_machine_type);
   other = spec;
   other.request.accelerators = 1;
-  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::exceeds_team_limit);
+  EXPECT_EQ(find_rejection_reason(other, teams, {machine_type}), RejectionReason::exceeds_team_limit);
   other = spec;
   other.machine_types = std::vector<std::string>{"x"};
-  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::fits_no_machine_type);
+  EXPECT_EQ(find_rejection_reason(other, teams, {machine_type}), RejectionReason::fits_no_machine_type);
   other = spec;
   other.zone = "b";
-  EXPECT_EQ(refusal(other, teams, {machine_type}), RejectionReason::fits_no_machine_type);
+  EXPECT_EQ(find_rejection_reason(other, teams, {machine_type}), RejectionReason::fits_no_machine_type);
 }
 
 }  // namespace
